--- a/node/directory/read.go
+++ b/node/directory/read.go
@@ -88,7 +88,7 @@
 // keep drops what a complete reading did not list.
 func (d *Directory) keep(listed map[Area]map[string]bool, revision uint64) (changed bool) {
 	now := time.Now()
-	d.state.nodes.KeepListed(now, listed[AreaNodes], revision)
+	d.state.nodes.RemoveUnlisted(now, listed[AreaNodes], revision)
 	gone := d.state.replicas.RemoveMissing(now, listed[AreaReplicas], revision, now.Before(d.doubtfulTill))
 	back := d.state.keepOut(listed[AreaOperators])
 	return gone || back
--- a/node/entry/env.go
+++ b/node/entry/env.go
@@ -110,9 +110,9 @@
 // HedgeAfter implements query.Env.
 func (e *env) HedgeAfter(answered, total int, elapsed time.Duration) time.Duration {
 	e.slowest = max(e.slowest, elapsed)
-	siblings := hedge.Siblings{Answered: answered, Total: total, Slowest: e.slowest}
+	siblings := hedge.Progress{Answered: answered, Total: total, Slowest: e.slowest}
 	e.tables.mu.Lock()
 	defer e.tables.mu.Unlock()
-	siblings.Loaded = e.tables.admission.Pressure() >= 1
+	siblings.Overloaded = e.tables.admission.Pressure() >= 1
 	return hedge.After(siblings, &e.tables.latency)
 }
--- a/node/forward/answer.go
+++ b/node/forward/answer.go
@@ -9,13 +9,13 @@
 )
 
 // finish makes the answer.
-func (q *run) finish(verdict gather.Verdict) Answer {
+func (q *run) finish(verdict gather.Decision) Answer {
 	a := q.answer(verdict)
 	q.log(&a)
 	return a
 }
 
-func (q *run) answer(verdict gather.Verdict) Answer {
+func (q *run) answer(verdict gather.Decision) Answer {
 	if verdict == gather.Success {
 		if q.route.Gathers() {
 			return q.merge()
@@ -29,7 +29,7 @@
 	switch {
 	case !q.ran:
 		return Answer{Outcome: NotRun, RetryAfter: q.retryAfter()}
-	case verdict == gather.Late:
+	case verdict == gather.DeadlineExceeded:
 		return Answer{Outcome: Late}
 	case !q.route.Gathers() && q.last != nil:
 		return Answer{Outcome: Passed, Status: q.last.Status, Header: q.last.Header, Body: q.last.Body}
@@ -50,7 +50,7 @@
 	a := Answer{Outcome: Merged, Status: http.StatusOK}
 	bodies := make([][]byte, 0, len(q.parts))
 	for i := range q.parts {
-		if !q.query.Has(i) {
+		if !q.query.HasAnswer(i) {
 			a.Missing++
 			continue
 		}
--- a/node/forward/attempt.go
+++ b/node/forward/attempt.go
@@ -24,7 +24,7 @@
 // may be more, and reports whether it could.
 func (q *run) sendAgain(i int) bool {
 	request := q.pickFor(i, false, q.f.opts.Source.FleetSize())
-	more := q.query.MoreReplicas(i)
+	more := q.query.HasUntriedReplica(i)
 	request.Tried = func(id string) bool {
 		tried, refused := q.tried(i, id)
 		return tried && !refused || !tried && !more
@@ -66,7 +66,7 @@
 	s.mu.Unlock()
 	at := q.since()
 	if tried, _ := q.tried(i, replica.ID); tried {
-		q.query.SentAgain(i, at)
+		q.query.RetrySent(i, at)
 	} else {
 		q.query.Sent(i, at)
 	}
@@ -270,14 +270,14 @@
 	if retry && mayRun && q.send(e.shard, false) {
 		return
 	}
-	if q.story[e.step].refused && q.query.TryAgain(e.shard, q.since()) {
+	if q.story[e.step].refused && q.query.ScheduleRetry(e.shard, q.since()) {
 		return
 	}
 	if !mayRun {
 		q.query.GiveUp(e.shard)
 		return
 	}
-	q.query.Settle(e.shard)
+	q.query.MarkLostIfIdle(e.shard)
 }
 
 // accepts reports whether a reply is the answer of its shard. Without shards to merge,
--- a/node/forward/class.go
+++ b/node/forward/class.go
@@ -69,8 +69,8 @@
 }
 
 // hedging returns how long attempts may be out before they are hedged.
-func (c *class) hedging(objective time.Duration) gather.Hedging {
+func (c *class) hedging(objective time.Duration) gather.HedgeDelay {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return gather.NewHedging(&c.recent, objective)
+	return gather.NewHedgeDelay(&c.recent, objective)
 }
--- a/node/forward/run.go
+++ b/node/forward/run.go
@@ -44,7 +44,7 @@
 	objective time.Duration
 	parts     []backend.ForwardReply
 	events    *work.Inbox[event]
-	hedging   gather.Hedging
+	hedging   gather.HedgeDelay
 	// groups are the records of parts that came merged, whose bodies are empty.
 	groups [][]byte
 	// ran is set once an attempt may have run at a replica.
@@ -91,7 +91,7 @@
 		minCoverage = r.MinCoverage
 	}
 	attempts := max(r.MaxAttempts, 1)
-	q.objective = gather.DueWithin(r.Objective, req.Reserve)
+	q.objective = gather.AnswerDeadline(r.Objective, req.Reserve)
 	q.hedging = c.hedging(q.objective)
 	q.query = gather.New(gather.Params{
 		Shards:      n,
@@ -137,7 +137,7 @@
 			q.query.GiveUp(i)
 		}
 	}
-	if verdict, _ := q.query.Judge(q.since()); verdict == gather.Failure {
+	if verdict, _ := q.query.Decide(q.since()); verdict == gather.Failure {
 		// Too few shards can take the request: it is refused before any of them works
 		// for it, so that those that are well are kept for requests that can succeed.
 		q.undo()
@@ -149,7 +149,7 @@
 	var events []event
 	for {
 		next := min(q.hedges(), q.again())
-		verdict, look := q.query.Judge(q.since())
+		verdict, look := q.query.Decide(q.since())
 		if verdict != gather.Wait {
 			return q.finish(verdict)
 		}
@@ -163,7 +163,7 @@
 		case <-timer.C:
 		case <-ctx.Done():
 			q.gone = true
-			return q.finish(gather.Late)
+			return q.finish(gather.DeadlineExceeded)
 		}
 	}
 }
@@ -185,7 +185,7 @@
 // again sends the attempts that were put off after refusals and returns when the next
 // one is due.
 func (q *run) again() time.Duration {
-	return q.query.Again(q.since(), func(i int) {
+	return q.query.SendDueRetries(q.since(), func(i int) {
 		if !q.sendAgain(i) {
 			q.query.GiveUp(i)
 		}
@@ -198,7 +198,7 @@
 	after := func(i int) time.Duration {
 		return q.hedging.After(q.services[i].spareUsed(size))
 	}
-	return q.query.Hedges(q.since(), q.hedging.Earliest(), after, func(i int) {
+	return q.query.Hedges(q.since(), q.hedging.Min(), after, func(i int) {
 		if !q.send(i, true) {
 			q.query.GiveUp(i)
 			return
--- a/node/gateway/assemble.go
+++ b/node/gateway/assemble.go
@@ -79,7 +79,7 @@
 		NewsBound: time.Duration(g.settings.GetForwarding().GetNewsBoundMs()) * time.Millisecond,
 		Changed:   g.changed,
 	}
-	if !own.Ample() {
+	if !own.FollowsStoreAtStart() {
 		o.RegisterAfter = smallRegistersAfter
 	}
 	g.directory = directory.New(o)
--- a/node/relay/exchange.go
+++ b/node/relay/exchange.go
@@ -127,7 +127,7 @@
 // replaced: one that was forgotten on the way would swallow the heartbeats too.
 func (r *Relay) failed(to coordinator.Member, err error, refusal pb.RelayRefusal) {
 	r.mu.Lock()
-	first := r.table.Failed(time.Now(), to.Node)
+	first := r.table.RecordFailure(time.Now(), to.Node)
 	r.mu.Unlock()
 	if err != nil {
 		r.opts.Pool.Replace(to.Address)
--- a/node/relay/heartbeat.go
+++ b/node/relay/heartbeat.go
@@ -59,7 +59,7 @@
 	r.mu.Lock()
 	r.started = time.Now()
 	r.mu.Unlock()
-	if r.opts.Own.Ample() {
+	if r.opts.Own.FollowsStoreAtStart() {
 		r.follow(true)
 	} else {
 		r.settle(ctx)
@@ -119,7 +119,7 @@
 func (r *Relay) keep(f coordinator.Fleet) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.table.Keep(f)
+	r.table.Update(f)
 }
 
 // beat sends one heartbeat and takes what it tells.
@@ -166,7 +166,7 @@
 
 func (r *Relay) reached(to coordinator.Member, c coordinator.Condition) {
 	r.mu.Lock()
-	again := r.table.Reached(time.Now(), to.Node, c)
+	again := r.table.RecordHeartbeat(time.Now(), to.Node, c)
 	r.mu.Unlock()
 	if again {
 		r.opts.Log.WithFields(logrus.Fields{"coordinator": to.Node}).Info("a coordinator is in use again")
@@ -181,7 +181,7 @@
 		now := time.Now()
 		r.mu.Lock()
 		next := r.nextLook()
-		to, due := r.table.Due(now)
+		to, due := r.table.NextProbe(now)
 		r.mu.Unlock()
 		if due {
 			r.beat(ctx, to, 0, trialTimeout)
--- a/node/relay/neighbours.go
+++ b/node/relay/neighbours.go
@@ -48,7 +48,7 @@
 	fleet := n.fleet()
 	n.mu.Lock()
 	to, ok := n.nodes.Pick(fleet, dataCentre)
-	failed, due := n.nodes.Due(time.Now(), fleet)
+	failed, due := n.nodes.NextProbe(time.Now(), fleet)
 	n.mu.Unlock()
 	if due {
 		go n.prove(failed)
@@ -134,7 +134,7 @@
 		return
 	}
 	n.mu.Lock()
-	again := n.nodes.Answered(to.Node)
+	again := n.nodes.RecordSuccess(to.Node)
 	n.mu.Unlock()
 	if again {
 		n.log.WithField("neighbour", to.Node).Info("neighbour in use again")
@@ -147,9 +147,9 @@
 	n.mu.Lock()
 	first := false
 	if status.Code(err) == codes.Unimplemented {
-		n.nodes.Unsupported(time.Now(), to)
+		n.nodes.RecordUnsupported(time.Now(), to)
 	} else {
-		first = n.nodes.Failed(time.Now(), to)
+		first = n.nodes.RecordFailure(time.Now(), to)
 	}
 	n.mu.Unlock()
 	if first {
--- a/node/relay/relay.go
+++ b/node/relay/relay.go
@@ -71,7 +71,7 @@
 	// later request must not be answered by an older one.
 	version uint64
 	// delay is that of coordinators' answers on their way.
-	delay gather.Delay
+	delay gather.DeliveryDelay
 	// inFlight holds the requests that wait at a coordinator, by its name.
 	inFlight map[string]map[*call]bool
 }
@@ -135,7 +135,7 @@
 func (r *Relay) mayReturn() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	last := r.table.LastHeard()
+	last := r.table.LastHeartbeat()
 	if last.Before(r.started) {
 		last = r.started
 	}
@@ -244,7 +244,7 @@
 func (r *Relay) offered(node string, after time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.table.Offered(node, after)
+	r.table.RecordOffer(node, after)
 }
 
 func (r *Relay) leastVersion() uint64 {
--- a/policy/bench/cost_test.go
+++ b/policy/bench/cost_test.go
@@ -61,7 +61,7 @@
 func (e *costEnv) TakeRetry() bool { return e.budget.Take() }
 
 func (e *costEnv) HedgeAfter(answered, total int, slowest time.Duration) time.Duration {
-	return hedge.After(hedge.Siblings{Answered: answered, Total: total, Slowest: slowest}, &e.latency)
+	return hedge.After(hedge.Progress{Answered: answered, Total: total, Slowest: slowest}, &e.latency)
 }
 
 func costService(shards int) *config.Service {
--- a/policy/bench/node.go
+++ b/policy/bench/node.go
@@ -265,9 +265,9 @@
 	if n.run.scenario.Policy == Baseline {
 		return hedge.Never
 	}
-	return hedge.After(hedge.Siblings{
+	return hedge.After(hedge.Progress{
 		Answered: answered, Total: total, Slowest: slowest,
-		Loaded: n.admission.Pressure() >= 1,
+		Overloaded: n.admission.Pressure() >= 1,
 	}, &n.subrequests)
 }
 
--- a/policy/coordinator/coordinator.go
+++ b/policy/coordinator/coordinator.go
@@ -71,12 +71,12 @@
 	Members  []Member
 }
 
-// Serves reports whether m takes requests of a node of that capacity.
-func (m Member) Serves(capacity float64) bool { return m.Capacity >= advantage*capacity }
+// CanCoordinateFor reports whether m takes requests of a node of that capacity.
+func (m Member) CanCoordinateFor(capacity float64) bool { return m.Capacity >= advantage*capacity }
 
-// Ample reports whether a node need not look for a coordinator before it follows the
+// FollowsStoreAtStart reports whether a node need not look for a coordinator before it follows the
 // store by itself.
-func (m Member) Ample() bool { return m.Capacity >= ample }
+func (m Member) FollowsStoreAtStart() bool { return m.Capacity >= ample }
 
 // peer is what is known of one coordinator.
 type peer struct {
@@ -130,15 +130,15 @@
 	return true
 }
 
-// Keep takes a fleet unless a newer one is known, and reports whether it was taken.
-func (t *Table) Keep(f Fleet) bool {
+// Update takes a fleet unless a newer one is known, and reports whether it was taken.
+func (t *Table) Update(f Fleet) bool {
 	if f.Revision <= t.revision {
 		return false
 	}
 	t.revision = f.Revision
 	kept := make(map[string]*peer, len(f.Members))
 	for _, m := range f.Members {
-		if m.Node == t.own.Node || !m.Serves(t.own.Capacity) {
+		if m.Node == t.own.Node || !m.CanCoordinateFor(t.own.Capacity) {
 			continue
 		}
 		p := t.peers[m.Node]
@@ -217,10 +217,10 @@
 	return float64(h.Sum32()) / (1 << 32)
 }
 
-// Due returns a coordinator to which a heartbeat is to be sent although it is not in
+// NextProbe returns a coordinator to which a heartbeat is to be sent although it is not in
 // use: one that failed, or, while the own data centre's are isolated, one that was not
 // heard of.
-func (t *Table) Due(now time.Time) (Member, bool) {
+func (t *Table) NextProbe(now time.Time) (Member, bool) {
 	isolated := t.Isolated(now)
 	var due *peer
 	for _, p := range t.peers {
@@ -238,16 +238,16 @@
 	return due.member, true
 }
 
-// Offered notes that a coordinator offered to take a request after that time.
-func (t *Table) Offered(node string, after time.Duration) {
+// RecordOffer notes that a coordinator offered to take a request after that time.
+func (t *Table) RecordOffer(node string, after time.Duration) {
 	if p := t.peers[node]; p != nil {
 		p.offer += time.Duration(offerWeight * float64(after-p.offer))
 	}
 }
 
-// Reached notes that a heartbeat was answered, and reports whether the coordinator was
+// RecordHeartbeat notes that a heartbeat was answered, and reports whether the coordinator was
 // out of use until now.
-func (t *Table) Reached(now time.Time, node string, c Condition) (again bool) {
+func (t *Table) RecordHeartbeat(now time.Time, node string, c Condition) (again bool) {
 	p := t.peers[node]
 	if p == nil {
 		return false
@@ -257,9 +257,9 @@
 	return again
 }
 
-// Failed notes that a coordinator did not answer, or would not take a request, and
+// RecordFailure notes that a coordinator did not answer, or would not take a request, and
 // reports whether it was in use until now.
-func (t *Table) Failed(now time.Time, node string) (first bool) {
+func (t *Table) RecordFailure(now time.Time, node string) (first bool) {
 	p := t.peers[node]
 	if p == nil {
 		return false
@@ -276,8 +276,8 @@
 	return min(minPause<<min(failures, doublings), maxPause)
 }
 
-// LastHeard returns when a heartbeat was answered last, by any coordinator.
-func (t *Table) LastHeard() time.Time {
+// LastHeartbeat returns when a heartbeat was answered last, by any coordinator.
+func (t *Table) LastHeartbeat() time.Time {
 	var last time.Time
 	for _, p := range t.peers {
 		if p.heard.After(last) {
--- a/policy/coordinator/coordinator_test.go
+++ b/policy/coordinator/coordinator_test.go
@@ -32,7 +32,7 @@
 
 func table(node string, capacity float64, f coordinator.Fleet) *coordinator.Table {
 	t := coordinator.NewTable(coordinator.Member{Node: node, DataCentre: "a", Capacity: capacity})
-	t.Keep(f)
+	t.Update(f)
 	return t
 }
 
@@ -51,7 +51,7 @@
 		first, ok := pick(tab)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(first.DataCentre, qt.Equals, "a")
-		tab.Offered(first.Node, 2*time.Millisecond)
+		tab.RecordOffer(first.Node, 2*time.Millisecond)
 		again, _ := pick(tab)
 		c.Assert(again, qt.Equals, first)
 		used[first.Node]++
@@ -74,8 +74,8 @@
 func TestDeadCoordinatorsAreLeftUntilAHeartbeatReachesThem(t *testing.T) {
 	c := qt.New(t)
 	tab := table("n", small, grown(coordinator.Member{Node: "other", DataCentre: "a", Capacity: small}))
-	tab.Failed(now, "a0")
-	tab.Failed(now, "a1")
+	tab.RecordFailure(now, "a0")
+	tab.RecordFailure(now, "a1")
 	to, ok := pick(tab)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(to.Capacity, qt.Equals, large)
@@ -83,13 +83,13 @@
 
 	trials := 0
 	for at := now; at.Before(now.Add(10 * time.Second)); at = at.Add(50 * time.Millisecond) {
-		if due, ok := tab.Due(at); ok {
+		if due, ok := tab.NextProbe(at); ok {
 			trials++
-			tab.Failed(at, due.Node)
+			tab.RecordFailure(at, due.Node)
 		}
 	}
 	c.Assert(trials >= 10 && trials <= 20, qt.IsTrue, qt.Commentf("%d trials of two in 10 s", trials))
-	c.Assert(tab.Reached(now, "a0", coordinator.Condition{Configured: true}), qt.IsTrue)
+	c.Assert(tab.RecordHeartbeat(now, "a0", coordinator.Condition{Configured: true}), qt.IsTrue)
 	to, _ = pick(tab)
 	c.Assert(to.Node, qt.Equals, "a0")
 }
@@ -102,22 +102,22 @@
 	c := qt.New(t)
 	tab := table("n", small, grown())
 	for _, node := range []string{"a0", "a1"} {
-		tab.Reached(now, node, coordinator.Condition{Configured: true, Stale: true})
+		tab.RecordHeartbeat(now, node, coordinator.Condition{Configured: true, Stale: true})
 	}
 	to, _ := pick(tab)
 	c.Assert(to.DataCentre, qt.Not(qt.Equals), "a")
 	c.Assert(tab.Connection(now), qt.Equals, coordinator.Connection{Serving: true})
 
 	for _, node := range []string{"a0", "a1"} {
-		tab.Reached(now, node, coordinator.Condition{Configured: true, Isolated: true})
+		tab.RecordHeartbeat(now, node, coordinator.Condition{Configured: true, Isolated: true})
 	}
 	to, _ = pick(tab)
 	c.Assert(to.DataCentre, qt.Equals, "a")
 	c.Assert(tab.Connection(now), qt.Equals, coordinator.Connection{})
-	due, ok := tab.Due(now)
+	due, ok := tab.NextProbe(now)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(due.DataCentre, qt.Not(qt.Equals), "a")
-	tab.Reached(now, due.Node, coordinator.Condition{Configured: true})
+	tab.RecordHeartbeat(now, due.Node, coordinator.Condition{Configured: true})
 	to, _ = pick(tab)
 	c.Assert(to, qt.Equals, due)
 }
@@ -127,8 +127,8 @@
 func TestOlderFleetChangesNothing(t *testing.T) {
 	c := qt.New(t)
 	tab := table("n", small, grown())
-	c.Assert(tab.Keep(coordinator.Fleet{Revision: 9}), qt.IsTrue)
-	c.Assert(tab.Keep(grown()), qt.IsFalse)
+	c.Assert(tab.Update(coordinator.Fleet{Revision: 9}), qt.IsTrue)
+	c.Assert(tab.Update(grown()), qt.IsFalse)
 	_, ok := pick(tab)
 	c.Assert(ok, qt.IsFalse)
 }
--- a/policy/coordinator/neighbours.go
+++ b/policy/coordinator/neighbours.go
@@ -48,9 +48,9 @@
 	return picked, found > 0
 }
 
-// Due returns a node that has failed and is to be sent a heartbeat now. Those that have
+// NextProbe returns a node that has failed and is to be sent a heartbeat now. Those that have
 // left the fleet are forgotten.
-func (n *Neighbours) Due(now time.Time, f Fleet) (Member, bool) {
+func (n *Neighbours) NextProbe(now time.Time, f Fleet) (Member, bool) {
 	members := make(map[string]bool, len(f.Members))
 	for _, m := range f.Members {
 		members[m.Node] = true
@@ -67,15 +67,15 @@
 	return Member{}, false
 }
 
-// Answered notes that a node has answered, and reports whether it was out of use.
-func (n *Neighbours) Answered(node string) (again bool) {
+// RecordSuccess notes that a node has answered, and reports whether it was out of use.
+func (n *Neighbours) RecordSuccess(node string) (again bool) {
 	again = n.failed[node] != nil
 	delete(n.failed, node)
 	return again
 }
 
-// Failed notes that a node has not answered, and reports whether it was in use until now.
-func (n *Neighbours) Failed(now time.Time, m Member) (first bool) {
+// RecordFailure notes that a node has not answered, and reports whether it was in use until now.
+func (n *Neighbours) RecordFailure(now time.Time, m Member) (first bool) {
 	state := n.failed[m.Node]
 	if state == nil {
 		state = &failure{member: m}
@@ -88,7 +88,7 @@
 	return first
 }
 
-// Unsupported notes that a node's release knows no batches.
-func (n *Neighbours) Unsupported(now time.Time, m Member) {
+// RecordUnsupported notes that a node's release knows no batches.
+func (n *Neighbours) RecordUnsupported(now time.Time, m Member) {
 	n.failed[m.Node] = &failure{member: m, probeAt: now.Add(unsupportedPause)}
 }
--- a/policy/coordinator/size.go
+++ b/policy/coordinator/size.go
@@ -7,8 +7,8 @@
 	// registration can be revoked while its node works on, and budgets that are divided
 	// among too few nodes would exceed the fleet's bound.
 	rememberFor = 25 * time.Second
-	// AssumedNodes stands in for the size of the fleet while no node is known.
-	AssumedNodes = 16
+	// DefaultFleetSize stands in for the size of the fleet while no node is known.
+	DefaultFleetSize = 16
 )
 
 // registration is what is known of one node of the fleet.
@@ -47,8 +47,8 @@
 	}
 }
 
-// KeepListed marks those that a complete reading did not list as vanished.
-func (r *Registrations) KeepListed(now time.Time, listed map[string]bool, revision uint64) {
+// RemoveUnlisted marks those that a complete reading did not list as vanished.
+func (r *Registrations) RemoveUnlisted(now time.Time, listed map[string]bool, revision uint64) {
 	for name := range r.nodes {
 		if !listed[name] {
 			r.Remove(now, name, revision)
@@ -74,7 +74,7 @@
 // divides what the fleet may do together. Nodes of unequal size take unequal shares.
 func (f Fleet) SizeFor(own Member) float64 {
 	if own.Capacity <= 0 || len(f.Members) == 0 {
-		return AssumedNodes
+		return DefaultFleetSize
 	}
 	sum, known := 0.0, false
 	for _, m := range f.Members {
--- a/policy/gather/gather.go
+++ b/policy/gather/gather.go
@@ -21,19 +21,19 @@
 	Idempotent bool
 }
 
-// Verdict says what becomes of the request now.
-type Verdict int
+// Decision says what becomes of the request now.
+type Decision int
 
-// Verdicts.
+// Decisions.
 const (
 	// Wait for the next result or moment.
-	Wait Verdict = iota
+	Wait Decision = iota
 	// Success with the parts that are in.
 	Success
 	// Failure: the least coverage cannot be reached any more.
 	Failure
-	// Late: the deadline has come first.
-	Late
+	// DeadlineExceeded: the deadline has come first.
+	DeadlineExceeded
 )
 
 // shard is the state of one shard.
@@ -115,10 +115,10 @@
 	refusalPause = 5 * time.Millisecond
 )
 
-// TryAgain makes the shard wait for another attempt at a replica that refused, and
+// ScheduleRetry makes the shard wait for another attempt at a replica that refused, and
 // reports whether it does. It answers half of the replicas refusing every second request
 // for seconds, when two attempts a shard lose more shards than an answer may lack.
-func (q *Query) TryAgain(i int, now time.Duration) bool {
+func (q *Query) ScheduleRetry(i int, now time.Duration) bool {
 	s := &q.shards[i]
 	if s.answered || s.denied || s.out > 0 || s.refusals >= maxRefusals {
 		return false
@@ -128,9 +128,9 @@
 	return true
 }
 
-// Again calls send for each shard whose time to be tried again has come, and returns when
+// SendDueRetries calls send for each shard whose time to be tried again has come, and returns when
 // the next one's does, or the deadline.
-func (q *Query) Again(now time.Duration, send func(i int)) time.Duration {
+func (q *Query) SendDueRetries(now time.Duration, send func(i int)) time.Duration {
 	next := q.params.Deadline
 	for i := range q.shards {
 		s := &q.shards[i]
@@ -146,8 +146,8 @@
 	return next
 }
 
-// SentAgain counts an attempt at a replica that had one before.
-func (q *Query) SentAgain(i int, at time.Duration) {
+// RetrySent counts an attempt at a replica that had one before.
+func (q *Query) RetrySent(i int, at time.Duration) {
 	s := &q.shards[i]
 	s.out++
 	s.lastSent = at
@@ -167,19 +167,19 @@
 	return q.enough(len(q.shards) - missing)
 }
 
-// MoreReplicas reports whether the shard may be sent to a replica that has not had it.
-func (q *Query) MoreReplicas(i int) bool { return q.shards[i].attempts < q.params.MaxAttempts }
+// HasUntriedReplica reports whether the shard may be sent to a replica that has not had it.
+func (q *Query) HasUntriedReplica(i int) bool { return q.shards[i].attempts < q.params.MaxAttempts }
 
 // GiveUp notes that no further attempt can be sent for the shard: there is no replica
 // left, no budget, or it may not run again.
 func (q *Query) GiveUp(i int) {
 	q.shards[i].denied = true
-	q.Settle(i)
+	q.MarkLostIfIdle(i)
 }
 
-// Settle counts the shard as lost if no attempt is out, after one that failed and was
+// MarkLostIfIdle counts the shard as lost if no attempt is out, after one that failed and was
 // not followed by another.
-func (q *Query) Settle(i int) {
+func (q *Query) MarkLostIfIdle(i int) {
 	s := &q.shards[i]
 	if s.answered || s.lost || s.out > 0 || s.againAt > 0 {
 		return
@@ -188,8 +188,8 @@
 	q.lost++
 }
 
-// Has reports whether the shard's part is in.
-func (q *Query) Has(i int) bool { return q.shards[i].answered }
+// HasAnswer reports whether the shard's part is in.
+func (q *Query) HasAnswer(i int) bool { return q.shards[i].answered }
 
 // Coverage is the share of shards whose parts are in.
 func (q *Query) Coverage() float64 {
@@ -207,13 +207,13 @@
 // coverageSlack absorbs the rounding of a share that was sent as a decimal.
 const coverageSlack = 1e-9
 
-// Judge decides what becomes of the request, and when to look again at the latest.
+// Decide decides what becomes of the request, and when to look again at the latest.
 //
 // An answer that has the least coverage is given at the objective without waiting for
 // the last shards: later it has little use, and a caller who waits for one shard that
 // stands still waits for all. Before the objective it waits for every shard that can
 // still answer.
-func (q *Query) Judge(now time.Duration) (Verdict, time.Duration) {
+func (q *Query) Decide(now time.Duration) (Decision, time.Duration) {
 	total := len(q.shards)
 	open := total - q.answered - q.lost
 	switch {
@@ -224,7 +224,7 @@
 	case q.enough(q.answered) && now >= q.params.Objective:
 		return Success, 0
 	case now >= q.params.Deadline:
-		return Late, 0
+		return DeadlineExceeded, 0
 	case now < q.params.Objective:
 		return Wait, min(q.params.Objective, q.params.Deadline)
 	}
--- a/policy/gather/gather_test.go
+++ b/policy/gather/gather_test.go
@@ -39,10 +39,10 @@
 func TestAnswerIsGivenAtTheObjectiveWithTheLeastCoverage(t *testing.T) {
 	c := qt.New(t)
 	q := started(ten(), 1)
-	verdict, look := q.Judge(50 * ms)
+	verdict, look := q.Decide(50 * ms)
 	c.Assert(verdict, qt.Equals, gather.Wait)
 	c.Assert(look, qt.Equals, 120*ms)
-	verdict, _ = q.Judge(120 * ms)
+	verdict, _ = q.Decide(120 * ms)
 	c.Assert(verdict, qt.Equals, gather.Success)
 	c.Assert(q.Coverage(), qt.Equals, 0.9)
 }
@@ -59,21 +59,21 @@
 	c.Assert(q.Failed(9, true), qt.IsFalse)
 	at := 2 * ms
 	for _, pause := range []time.Duration{5 * ms, 10 * ms, 20 * ms, 40 * ms} {
-		c.Assert(q.TryAgain(9, at), qt.IsTrue)
-		q.Settle(9)
-		next := q.Again(at, func(int) { t.Fatal("sent too early") })
+		c.Assert(q.ScheduleRetry(9, at), qt.IsTrue)
+		q.MarkLostIfIdle(9)
+		next := q.SendDueRetries(at, func(int) { t.Fatal("sent too early") })
 		c.Assert(next, qt.Equals, at+pause)
-		verdict, _ := q.Judge(at)
+		verdict, _ := q.Decide(at)
 		c.Assert(verdict, qt.Equals, gather.Wait)
 		at = next
 		sent := 0
-		q.Again(at, func(i int) { sent++; q.SentAgain(i, at) })
+		q.SendDueRetries(at, func(i int) { sent++; q.RetrySent(i, at) })
 		c.Assert(sent, qt.Equals, 1)
 		q.Failed(9, true)
 	}
-	c.Assert(q.TryAgain(9, at), qt.IsFalse)
-	q.Settle(9)
-	verdict, _ := q.Judge(at)
+	c.Assert(q.ScheduleRetry(9, at), qt.IsFalse)
+	q.MarkLostIfIdle(9)
+	verdict, _ := q.Decide(at)
 	c.Assert(verdict, qt.Equals, gather.Success)
 }
 
@@ -101,13 +101,13 @@
 func TestBelowTheLeastCoverageTheCallerWaits(t *testing.T) {
 	c := qt.New(t)
 	q := started(ten(), 2)
-	verdict, look := q.Judge(130 * ms)
+	verdict, look := q.Decide(130 * ms)
 	c.Assert(verdict, qt.Equals, gather.Wait)
 	c.Assert(look, qt.Equals, 1200*ms)
-	verdict, _ = q.Judge(1200 * ms)
-	c.Assert(verdict, qt.Equals, gather.Late)
+	verdict, _ = q.Decide(1200 * ms)
+	c.Assert(verdict, qt.Equals, gather.DeadlineExceeded)
 	q.Answered(8)
-	verdict, _ = q.Judge(200 * ms)
+	verdict, _ = q.Decide(200 * ms)
 	c.Assert(verdict, qt.Equals, gather.Success)
 }
 
@@ -118,7 +118,7 @@
 	q := started(ten(), 1)
 	c.Assert(q.Failed(9, true), qt.IsTrue)
 	q.GiveUp(9)
-	verdict, _ := q.Judge(10 * ms)
+	verdict, _ := q.Decide(10 * ms)
 	c.Assert(verdict, qt.Equals, gather.Success, qt.Commentf("nine of ten, and nothing to wait for"))
 
 	q = started(ten(), 2)
@@ -126,7 +126,7 @@
 	q.GiveUp(9)
 	q.Failed(8, true)
 	q.GiveUp(8)
-	verdict, _ = q.Judge(10 * ms)
+	verdict, _ = q.Decide(10 * ms)
 	c.Assert(verdict, qt.Equals, gather.Failure)
 }
 
@@ -146,11 +146,11 @@
 	q.Hedges(30*ms, 30*ms, after, send)
 	c.Assert(hedged, qt.DeepEquals, []int{9})
 	c.Assert(q.Failed(9, true), qt.IsFalse, qt.Commentf("both attempts are used"))
-	q.Settle(9)
-	verdict, _ := q.Judge(40 * ms)
+	q.MarkLostIfIdle(9)
+	verdict, _ := q.Decide(40 * ms)
 	c.Assert(verdict, qt.Equals, gather.Wait)
 	c.Assert(q.Answered(9), qt.IsTrue)
-	verdict, _ = q.Judge(41 * ms)
+	verdict, _ = q.Decide(41 * ms)
 	c.Assert(verdict, qt.Equals, gather.Success)
 }
 
--- a/policy/gather/hedge.go
+++ b/policy/gather/hedge.go
@@ -24,34 +24,34 @@
 	minHedge = 8 * time.Millisecond
 )
 
-// Hedging says how long an attempt may be out before another replica is asked too.
-type Hedging struct {
+// HedgeDelay says how long an attempt may be out before another replica is asked too.
+type HedgeDelay struct {
 	// earliest is when the attempt is late beside others of its class, and latest when a
 	// hedge can still answer inside the objective.
 	earliest, latest time.Duration
 }
 
-// NewHedging works it out for a class. recent are the latencies of its first attempts.
-func NewHedging(recent *hedge.Quantile, objective time.Duration) Hedging {
+// NewHedgeDelay works it out for a class. recent are the latencies of its first attempts.
+func NewHedgeDelay(recent *hedge.Quantile, objective time.Duration) HedgeDelay {
 	longest := time.Duration(hedgeObjectiveShare * float64(objective))
 	if recent.Count() < hedgeSamples {
 		due := max(minHedge, longest)
-		return Hedging{earliest: due, latest: due}
+		return HedgeDelay{earliest: due, latest: due}
 	}
 	usual := time.Duration(hedgeFactor * float64(recent.At(hedgeQuantile)))
 	earliest := max(minHedge, min(usual, longest))
 	// A hedge takes about as long as earliest itself; as much again is left for others
 	// that are ahead of it.
-	return Hedging{earliest: earliest, latest: max(earliest, min(longest, objective-2*earliest))}
+	return HedgeDelay{earliest: earliest, latest: max(earliest, min(longest, objective-2*earliest))}
 }
 
-// Earliest returns the shortest wait before a hedge.
-func (h Hedging) Earliest() time.Duration { return h.earliest }
+// Min returns the shortest wait before a hedge.
+func (h HedgeDelay) Min() time.Duration { return h.earliest }
 
 // After returns the wait before a hedge while a share, 0 to 1, of the budget for hedges is
 // used. The more of it is used, the closer hedges move to the last moment that helps, so
 // that the rest goes to attempts at stalled replicas while many others are only slow.
-func (h Hedging) After(used float64) time.Duration {
+func (h HedgeDelay) After(used float64) time.Duration {
 	put := min(max(used, 0)/scarceFrom, 1)
 	return h.earliest + time.Duration(put*float64(h.latest-h.earliest))
 }
--- a/policy/gather/hedge_test.go
+++ b/policy/gather/hedge_test.go
@@ -25,26 +25,26 @@
 // objective even where little is known.
 func TestHedgeFollowsRecentLatencies(t *testing.T) {
 	c := qt.New(t)
-	c.Assert(gather.NewHedging(&hedge.Quantile{}, 120*ms).After(0), qt.Equals, 60*ms)
+	c.Assert(gather.NewHedgeDelay(&hedge.Quantile{}, 120*ms).After(0), qt.Equals, 60*ms)
 	recent := usually()
-	due := gather.NewHedging(recent, 120*ms).After(0)
+	due := gather.NewHedgeDelay(recent, 120*ms).After(0)
 	c.Assert(due >= 19*ms && due <= 23*ms, qt.IsTrue, qt.Commentf("%v", due))
 	for range 1000 {
 		recent.Observe(500 * ms)
 	}
-	c.Assert(gather.NewHedging(recent, 120*ms).After(0), qt.Equals, 60*ms)
+	c.Assert(gather.NewHedgeDelay(recent, 120*ms).After(0), qt.Equals, 60*ms)
 }
 
 // However much of the budget is used, a hedge is sent while its answer can still come
 // inside the objective.
 func TestHedgeIsNotPutOffPastItsUse(t *testing.T) {
 	c := qt.New(t)
-	h := gather.NewHedging(usually(), 120*ms)
+	h := gather.NewHedgeDelay(usually(), 120*ms)
 	c.Assert(h.After(1) > h.After(0.5), qt.IsTrue)
 	c.Assert(h.After(0.5) > h.After(0), qt.IsTrue)
 	c.Assert(h.After(2), qt.Equals, h.After(1))
 	c.Assert(h.After(1) <= 60*ms, qt.IsTrue)
-	tight := gather.NewHedging(usually(), 50*ms)
+	tight := gather.NewHedgeDelay(usually(), 50*ms)
 	c.Assert(tight.After(1) <= 25*ms, qt.IsTrue, qt.Commentf("%v", tight.After(1)))
 }
 
@@ -60,7 +60,7 @@
 		requests  = 6000
 	)
 	rng := rand.New(rand.NewPCG(7, 8))
-	hedging := gather.NewHedging(usually(), objective)
+	hedging := gather.NewHedgeDelay(usually(), objective)
 	start := time.Unix(1000, 0)
 	budget := retrybudget.New(retrybudget.Bound{Ratio: 0.12, Slack: 0, Window: 10 * time.Second}, start)
 	standing, hedged := 0, 0
--- a/policy/gather/reserve.go
+++ b/policy/gather/reserve.go
@@ -13,23 +13,23 @@
 	maxDelay = 25 * time.Millisecond
 	// reserveShare is the part of an objective that a reserve may take.
 	reserveShare = 0.4
-	// UnknownReserve stands in for the reserve of a request whose sender does not say.
-	UnknownReserve = 12 * time.Millisecond
+	// DefaultReserve stands in for the reserve of a request whose sender does not say.
+	DefaultReserve = 12 * time.Millisecond
 )
 
-// Delay estimates how long answers take from the moment at which they are due to leave
+// DeliveryDelay estimates how long answers take from the moment at which they are due to leave
 // until they are on their way to the caller: late timers, the way between two nodes, and
 // the wait for a busy processor.
 //
 // It answers load at which processors are busy, when answers that are due at the objective
 // reach their callers after it. Not safe for concurrent use.
-type Delay struct {
+type DeliveryDelay struct {
 	estimate time.Duration
 	known    bool
 }
 
 // Observe takes the delay of one answer.
-func (d *Delay) Observe(took time.Duration) {
+func (d *DeliveryDelay) Observe(took time.Duration) {
 	took = min(max(took, 0), maxDelay)
 	current := d.Estimate()
 	d.estimate = max(took, current-time.Duration(delayFall*float64(current-took)))
@@ -37,18 +37,18 @@
 }
 
 // Estimate returns a delay that few answers exceed.
-func (d *Delay) Estimate() time.Duration {
+func (d *DeliveryDelay) Estimate() time.Duration {
 	if !d.known {
 		return startDelay
 	}
 	return d.estimate
 }
 
-// DueWithin returns when an answer has to be given to reach its caller within the
+// AnswerDeadline returns when an answer has to be given to reach its caller within the
 // objective, of which reserve is needed on the way.
-func DueWithin(objective, reserve time.Duration) time.Duration {
+func AnswerDeadline(objective, reserve time.Duration) time.Duration {
 	if reserve <= 0 {
-		reserve = UnknownReserve
+		reserve = DefaultReserve
 	}
 	return objective - min(reserve, time.Duration(reserveShare*float64(objective)))
 }
--- a/policy/gather/reserve_test.go
+++ b/policy/gather/reserve_test.go
@@ -16,12 +16,12 @@
 	c := qt.New(t)
 	const objective, way = 120 * ms, 12 * ms
 	rng := rand.New(rand.NewPCG(3, 4))
-	var delay gather.Delay
+	var delay gather.DeliveryDelay
 	for _, load := range []struct{ least, spread time.Duration }{{1 * ms, 1 * ms}, {3 * ms, 10 * ms}, {1 * ms, 1 * ms}} {
 		late, early := 0, time.Duration(0)
 		const answers = 400
 		for i := range answers {
-			due := gather.DueWithin(objective, way+delay.Estimate())
+			due := gather.AnswerDeadline(objective, way+delay.Estimate())
 			took := load.least + time.Duration(rng.Int64N(int64(load.spread)))
 			delay.Observe(took)
 			if i < answers/2 {
@@ -42,12 +42,12 @@
 // gather in.
 func TestReserveIsBounded(t *testing.T) {
 	c := qt.New(t)
-	var delay gather.Delay
+	var delay gather.DeliveryDelay
 	for range 100 {
 		delay.Observe(time.Hour)
 	}
 	c.Assert(delay.Estimate() <= 25*ms, qt.IsTrue)
-	c.Assert(gather.DueWithin(100*ms, time.Hour), qt.Equals, 60*ms)
-	c.Assert(gather.DueWithin(100*ms, 0), qt.Equals, 88*ms)
-	c.Assert(gather.DueWithin(0, 20*ms), qt.Equals, time.Duration(0))
+	c.Assert(gather.AnswerDeadline(100*ms, time.Hour), qt.Equals, 60*ms)
+	c.Assert(gather.AnswerDeadline(100*ms, 0), qt.Equals, 88*ms)
+	c.Assert(gather.AnswerDeadline(0, 20*ms), qt.Equals, time.Duration(0))
 }
--- a/policy/hedge/after.go
+++ b/policy/hedge/after.go
@@ -23,15 +23,15 @@
 	siblingFactor = 1.25
 )
 
-// Siblings says how the other subrequests of the same query are doing.
-type Siblings struct {
+// Progress says how the other subrequests of the same query are doing.
+type Progress struct {
 	// Answered of Total shards have a result.
 	Answered, Total int
 	// Slowest is the latency of the slowest answer to a shard without a hedge.
 	Slowest time.Duration
-	// Loaded is true when the service is overloaded: admission is refusing
+	// Overloaded is true when the service is overloaded: admission is refusing
 	// queries, or owners refuse subrequests for their limits.
-	Loaded bool
+	Overloaded bool
 }
 
 // After returns the time since an outstanding subrequest was sent from which it
@@ -42,8 +42,8 @@
 // Siblings of one query run the same work at the same time, so they tell what
 // is normal now; the quantile alone would hedge every shard of a slow query.
 // Load slows all siblings alike: too many are outstanding, and nothing is sent.
-func After(s Siblings, recent *Quantile) time.Duration {
-	if s.Loaded || recent.Count() < minSamples {
+func After(s Progress, recent *Quantile) time.Duration {
+	if s.Overloaded || recent.Count() < minSamples {
 		return Never
 	}
 	due := recent.At(quantile)
--- a/policy/hedge/hedge_test.go
+++ b/policy/hedge/hedge_test.go
@@ -93,15 +93,15 @@
 	past := recent.At(0.97)
 	for _, test := range []struct {
 		name     string
-		siblings hedge.Siblings
+		siblings hedge.Progress
 		want     time.Duration
 	}{
-		{"quick siblings", hedge.Siblings{Answered: 14, Total: 15}, past},
-		{"siblings outstanding", hedge.Siblings{Answered: 8, Total: 15}, hedge.Never},
-		{"no sibling answered", hedge.Siblings{Answered: 0, Total: 2}, hedge.Never},
-		{"one shard", hedge.Siblings{Answered: 0, Total: 1}, past},
-		{"a slow query", hedge.Siblings{Answered: 14, Total: 15, Slowest: 40 * time.Millisecond}, 50 * time.Millisecond},
-		{"overload", hedge.Siblings{Answered: 14, Total: 15, Loaded: true}, hedge.Never},
+		{"quick siblings", hedge.Progress{Answered: 14, Total: 15}, past},
+		{"siblings outstanding", hedge.Progress{Answered: 8, Total: 15}, hedge.Never},
+		{"no sibling answered", hedge.Progress{Answered: 0, Total: 2}, hedge.Never},
+		{"one shard", hedge.Progress{Answered: 0, Total: 1}, past},
+		{"a slow query", hedge.Progress{Answered: 14, Total: 15, Slowest: 40 * time.Millisecond}, 50 * time.Millisecond},
+		{"overload", hedge.Progress{Answered: 14, Total: 15, Overloaded: true}, hedge.Never},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -110,5 +110,5 @@
 	}
 	c := qt.New(t)
 	var unknown hedge.Quantile
-	c.Assert(hedge.After(hedge.Siblings{Answered: 14, Total: 15}, &unknown), qt.Equals, hedge.Never)
+	c.Assert(hedge.After(hedge.Progress{Answered: 14, Total: 15}, &unknown), qt.Equals, hedge.Never)
 }
