--- a/policy/coordinator/coordinator_test.go
+++ b/policy/coordinator/coordinator_test.go
@@ -17,8 +17,8 @@
 	small = 0.192
 )
 
-// grown is a fleet of five data centres with two large VMs each, and what else is named.
-func grown(others ...coordinator.Member) coordinator.Fleet {
+// newFleet returns five data centres with two large VMs each, and the given members.
+func newFleet(others ...coordinator.Member) coordinator.Fleet {
 	f := coordinator.Fleet{Revision: 7, Members: others}
 	for _, dc := range []string{"a", "b", "c", "d", "e"} {
 		for i := range 2 {
@@ -30,7 +30,7 @@
 	return f
 }
 
-func table(node string, capacity float64, f coordinator.Fleet) *coordinator.Table {
+func newTable(node string, capacity float64, f coordinator.Fleet) *coordinator.Table {
 	t := coordinator.NewTable(coordinator.Member{Node: node, DataCentre: "a", Capacity: capacity})
 	t.Update(f)
 	return t
@@ -41,103 +41,100 @@
 	return m, ok
 }
 
-// Eighty small nodes get a few requests a second each. All go to the large ones of the
-// own data centre, about as many to each, and a node stays with its own.
-func TestSmallNodesSpreadOverTheLargeOnesNextDoor(t *testing.T) {
+// Small nodes must all relay within their data centre, in similar numbers to each
+// coordinator, and must not switch between coordinators.
+func TestSmallNodesSpreadOverLocalCoordinators(t *testing.T) {
 	c := qt.New(t)
 	used := make(map[string]int)
 	for i := range 80 {
-		tab := table(fmt.Sprintf("n%d", i), small, grown())
-		first, ok := pick(tab)
+		table := newTable(fmt.Sprintf("n%d", i), small, newFleet())
+		first, ok := pick(table)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(first.DataCentre, qt.Equals, "a")
-		tab.RecordOffer(first.Node, 2*time.Millisecond)
-		again, _ := pick(tab)
+		table.RecordOffer(first.Node, 2*time.Millisecond)
+		again, _ := pick(table)
 		c.Assert(again, qt.Equals, first)
 		used[first.Node]++
 	}
 	c.Assert(used["a0"] >= 25 && used["a1"] >= 25, qt.IsTrue, qt.Commentf("%v", used))
 }
 
-// Nodes of one size gain nothing from each other: each asks the shards itself.
+// A node must not relay to nodes of its own size: that saves nothing.
 func TestEqualNodesDoNotRelay(t *testing.T) {
 	c := qt.New(t)
-	tab := table("n", large, grown())
-	_, ok := pick(tab)
+	table := newTable("n", large, newFleet())
+	_, ok := pick(table)
 	c.Assert(ok, qt.IsFalse)
-	c.Assert(tab.Empty(), qt.IsTrue)
+	c.Assert(table.Empty(), qt.IsTrue)
 }
 
-// Both large VMs of a data centre die at once. Its callers' requests go to those of
-// another one, a millisecond away, and not to the small ones. A dead one gets no request
-// until a heartbeat has reached it, and heartbeats come ever more seldom.
-func TestDeadCoordinatorsAreLeftUntilAHeartbeatReachesThem(t *testing.T) {
+// When all coordinators of a data centre fail, requests must go to coordinators elsewhere
+// and not to small nodes. A failed coordinator must receive no request before it answers a
+// heartbeat, and probes must back off.
+func TestFailedCoordinatorIsSkippedUntilAHeartbeat(t *testing.T) {
 	c := qt.New(t)
-	tab := table("n", small, grown(coordinator.Member{Node: "other", DataCentre: "a", Capacity: small}))
-	tab.RecordFailure(now, "a0")
-	tab.RecordFailure(now, "a1")
-	to, ok := pick(tab)
+	table := newTable("n", small, newFleet(coordinator.Member{Node: "other", DataCentre: "a", Capacity: small}))
+	table.RecordFailure(now, "a0")
+	table.RecordFailure(now, "a1")
+	to, ok := pick(table)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(to.Capacity, qt.Equals, large)
 	c.Assert(to.DataCentre, qt.Not(qt.Equals), "a")
 
-	trials := 0
+	probes := 0
 	for at := now; at.Before(now.Add(10 * time.Second)); at = at.Add(50 * time.Millisecond) {
-		if due, ok := tab.NextProbe(at); ok {
-			trials++
-			tab.RecordFailure(at, due.Node)
+		if due, ok := table.NextProbe(at); ok {
+			probes++
+			table.RecordFailure(at, due.Node)
 		}
 	}
-	c.Assert(trials >= 10 && trials <= 20, qt.IsTrue, qt.Commentf("%d trials of two in 10 s", trials))
-	c.Assert(tab.RecordHeartbeat(now, "a0", coordinator.Condition{Configured: true}), qt.IsTrue)
-	to, _ = pick(tab)
+	c.Assert(probes >= 10 && probes <= 20, qt.IsTrue, qt.Commentf("%d probes of two coordinators in 10 s", probes))
+	c.Assert(table.RecordHeartbeat(now, "a0", coordinator.Condition{Configured: true}), qt.IsTrue)
+	to, _ = pick(table)
 	c.Assert(to.Node, qt.Equals, "a0")
 }
 
-// The store turns the coordinators next door away: those of other data centres, whose
-// news is new, get the requests. A data centre is cut off: its coordinators say so, and
-// get its requests all the same, since those elsewhere cannot be reached; as soon as a
-// heartbeat has reached one of them it is used.
-func TestConditionsOrderTheCoordinators(t *testing.T) {
+// Stale local coordinators must yield to current ones in other data centres. Isolated local
+// coordinators must be preferred to those that cannot be reached, until one elsewhere
+// answers a heartbeat.
+func TestPickPrefersCoordinatorsInBetterCondition(t *testing.T) {
 	c := qt.New(t)
-	tab := table("n", small, grown())
+	table := newTable("n", small, newFleet())
 	for _, node := range []string{"a0", "a1"} {
-		tab.RecordHeartbeat(now, node, coordinator.Condition{Configured: true, Stale: true})
+		table.RecordHeartbeat(now, node, coordinator.Condition{Configured: true, Stale: true})
 	}
-	to, _ := pick(tab)
+	to, _ := pick(table)
 	c.Assert(to.DataCentre, qt.Not(qt.Equals), "a")
-	c.Assert(tab.Connection(now), qt.Equals, coordinator.Connection{Serving: true})
+	c.Assert(table.Connection(now), qt.Equals, coordinator.Connection{Serving: true})
 
 	for _, node := range []string{"a0", "a1"} {
-		tab.RecordHeartbeat(now, node, coordinator.Condition{Configured: true, Isolated: true})
+		table.RecordHeartbeat(now, node, coordinator.Condition{Configured: true, Isolated: true})
 	}
-	to, _ = pick(tab)
+	to, _ = pick(table)
 	c.Assert(to.DataCentre, qt.Equals, "a")
-	c.Assert(tab.Connection(now), qt.Equals, coordinator.Connection{})
-	due, ok := tab.NextProbe(now)
+	c.Assert(table.Connection(now), qt.Equals, coordinator.Connection{})
+	due, ok := table.NextProbe(now)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(due.DataCentre, qt.Not(qt.Equals), "a")
-	tab.RecordHeartbeat(now, due.Node, coordinator.Condition{Configured: true})
-	to, _ = pick(tab)
+	table.RecordHeartbeat(now, due.Node, coordinator.Condition{Configured: true})
+	to, _ = pick(table)
 	c.Assert(to, qt.Equals, due)
 }
 
-// News of the fleet comes by several ways. What is older than what is known does not
-// bring back a coordinator that has left.
-func TestOlderFleetChangesNothing(t *testing.T) {
+// An older fleet that arrives late must not restore a coordinator that has left.
+func TestOlderFleetIsIgnored(t *testing.T) {
 	c := qt.New(t)
-	tab := table("n", small, grown())
-	c.Assert(tab.Update(coordinator.Fleet{Revision: 9}), qt.IsTrue)
-	c.Assert(tab.Update(grown()), qt.IsFalse)
-	_, ok := pick(tab)
+	table := newTable("n", small, newFleet())
+	c.Assert(table.Update(coordinator.Fleet{Revision: 9}), qt.IsTrue)
+	c.Assert(table.Update(newFleet()), qt.IsFalse)
+	_, ok := pick(table)
 	c.Assert(ok, qt.IsFalse)
 }
 
-// A fleet shares budgets and connections by capacity, so that parts of unequal nodes add
-// up to the whole and not more.
-func TestUnequalNodesTakeUnequalShares(t *testing.T) {
+// Shares by capacity must add up to the whole fleet, or the nodes together exceed its limits.
+func TestSharesFollowCapacity(t *testing.T) {
 	c := qt.New(t)
-	f := grown(coordinator.Member{Node: "s", Capacity: small})
+	f := newFleet(coordinator.Member{Node: "s", Capacity: small})
 	sum := 0.0
 	for _, m := range f.Members {
 		sum += 1 / f.SizeFor(m)
@@ -145,12 +142,12 @@
 	c.Assert(sum > 0.999 && sum < 1.001, qt.IsTrue, qt.Commentf("%f", sum))
 	c.Assert(f.SizeFor(f.Members[1]) < 11, qt.IsTrue)
 	newcomer := coordinator.Member{Node: "new", Capacity: large}
-	c.Assert(f.SizeFor(newcomer) > 11, qt.IsTrue, qt.Commentf("a node counts itself"))
+	c.Assert(f.SizeFor(newcomer) > 11, qt.IsTrue, qt.Commentf("an unregistered node must count itself"))
 }
 
-// Registrations are revoked while their nodes work on. They count for a while, since the
-// others would else spend their parts of the budgets too.
-func TestVanishedNodesCountForAWhile(t *testing.T) {
+// A registration can be revoked while its node still runs. The node must count for a while:
+// otherwise the remaining nodes also spend its share of the budgets.
+func TestRemovedRegistrationCountsDuringGracePeriod(t *testing.T) {
 	c := qt.New(t)
 	r := coordinator.NewRegistrations()
 	for i := range 8 {
--- a/policy/coordinator/neighbours.go
+++ b/policy/coordinator/neighbours.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// unsupportedPause is how long a node is left alone whose release knows no batches.
-const unsupportedPause = time.Minute
+// unsupportedBackoff is the time before a node without support for batches is probed.
+const unsupportedBackoff = time.Minute
 
-// Neighbours chooses the nodes of other data centres that send a gather's attempts to the
-// replicas next to them. Not safe for concurrent use.
+// Neighbours selects the nodes of other data centres that send a gather's attempts to
+// replicas in their data centre. Not safe for concurrent use.
 //
-// It answers nodes that are cut off from some others: one that has failed gets no batch
-// until a heartbeat has reached it, so that each cut costs this node one request.
+// A failed node receives no batch until it answers a heartbeat. Without this rule, each
+// retry of an unreachable node costs a request.
 type Neighbours struct {
 	own    Member
 	rng    *rand.Rand
-	failed map[string]*failure
+	failed map[string]*failedNode
 }
 
-// failure is what is known of a node that has not answered.
-type failure struct {
+// failedNode is the state of a node that did not answer.
+type failedNode struct {
 	member  Member
-	streak  int
+	repeats int
 	probeAt time.Time
 }
 
-// NewNeighbours returns a choice for a node.
+// NewNeighbours returns a selection without failed nodes.
 func NewNeighbours(own Member, rng *rand.Rand) *Neighbours {
-	return &Neighbours{own: own, rng: rng, failed: make(map[string]*failure)}
+	return &Neighbours{own: own, rng: rng, failed: make(map[string]*failedNode)}
 }
 
-// Pick returns a node of a data centre that is at least as large as this one, and false
-// where none may be used now.
+// Pick returns a random node of the data centre that is at least as large as this one, or
+// false when none is usable.
 func (n *Neighbours) Pick(f Fleet, dataCentre string) (Member, bool) {
 	var picked Member
 	found := 0
@@ -48,8 +48,8 @@
 	return picked, found > 0
 }
 
-// NextProbe returns a node that has failed and is to be sent a heartbeat now. Those that have
-// left the fleet are forgotten.
+// NextProbe returns a failed node that needs a heartbeat now. It removes failed nodes that
+// have left the fleet.
 func (n *Neighbours) NextProbe(now time.Time, f Fleet) (Member, bool) {
 	members := make(map[string]bool, len(f.Members))
 	for _, m := range f.Members {
@@ -60,35 +60,36 @@
 		case !members[name]:
 			delete(n.failed, name)
 		case !now.Before(state.probeAt):
-			state.probeAt = now.Add(pauseAfter(state.streak))
+			state.probeAt = now.Add(backoffAfter(state.repeats))
 			return state.member, true
 		}
 	}
 	return Member{}, false
 }
 
-// RecordSuccess notes that a node has answered, and reports whether it was out of use.
-func (n *Neighbours) RecordSuccess(node string) (again bool) {
-	again = n.failed[node] != nil
+// RecordSuccess records an answer of a node, and reports whether the node had failed.
+func (n *Neighbours) RecordSuccess(node string) (recovered bool) {
+	recovered = n.failed[node] != nil
 	delete(n.failed, node)
-	return again
+	return recovered
 }
 
-// RecordFailure notes that a node has not answered, and reports whether it was in use until now.
+// RecordFailure records a missing answer, and reports whether this is the node's first
+// failure since its last answer.
 func (n *Neighbours) RecordFailure(now time.Time, m Member) (first bool) {
 	state := n.failed[m.Node]
 	if state == nil {
-		state = &failure{member: m}
+		state = &failedNode{member: m}
 		n.failed[m.Node] = state
 		first = true
 	} else {
-		state.streak++
+		state.repeats++
 	}
-	state.probeAt = now.Add(pauseAfter(state.streak))
+	state.probeAt = now.Add(backoffAfter(state.repeats))
 	return first
 }
 
-// RecordUnsupported notes that a node's release knows no batches.
+// RecordUnsupported records that the release of a node does not support batches.
 func (n *Neighbours) RecordUnsupported(now time.Time, m Member) {
-	n.failed[m.Node] = &failure{member: m, probeAt: now.Add(unsupportedPause)}
+	n.failed[m.Node] = &failedNode{member: m, probeAt: now.Add(unsupportedBackoff)}
 }
--- a/policy/coordinator/neighbours_test.go
+++ b/policy/coordinator/neighbours_test.go
@@ -15,12 +15,11 @@
 	return coordinator.NewNeighbours(own, rand.New(rand.NewPCG(1, 2)))
 }
 
-// TestNeighboursShareBatches guards against one node that gets all batches of others, and
-// against small VMs that get any.
-func TestNeighboursShareBatches(t *testing.T) {
+// Batches must be spread over the large nodes of a data centre, and small ones get none.
+func TestBatchesSpreadOverLargeNeighbours(t *testing.T) {
 	c := qt.New(t)
 	n := neighbours()
-	fleet := grown(coordinator.Member{Node: "small", DataCentre: "b", Capacity: small})
+	fleet := newFleet(coordinator.Member{Node: "small", DataCentre: "b", Capacity: small})
 	used := make(map[string]int)
 	for range 200 {
 		m, ok := n.Pick(fleet, "b")
@@ -32,12 +31,12 @@
 	c.Assert(ok, qt.IsFalse)
 }
 
-// TestFailedNeighbourIsUsedAfterAHeartbeat guards against a node that is cut off and costs
-// a request each time that it is tried again.
+// A failed node must receive no batch before it answers a heartbeat: each attempt would cost
+// a request.
 func TestFailedNeighbourIsUsedAfterAHeartbeat(t *testing.T) {
 	c := qt.New(t)
 	n := neighbours()
-	fleet := grown()
+	fleet := newFleet()
 	b0, b1 := fleet.Members[2], fleet.Members[3]
 	c.Assert(n.RecordFailure(now, b0), qt.IsTrue)
 	c.Assert(n.RecordFailure(now, b0), qt.IsFalse)
@@ -53,7 +52,7 @@
 	c.Assert(due, qt.IsTrue)
 	c.Assert(m, qt.Equals, b0)
 	_, due = n.NextProbe(later, fleet)
-	c.Assert(due, qt.IsFalse, qt.Commentf("one heartbeat at a time"))
+	c.Assert(due, qt.IsFalse, qt.Commentf("second probe within the backoff"))
 	n.RecordFailure(later, b1)
 	_, ok := n.Pick(fleet, "b")
 	c.Assert(ok, qt.IsFalse)
@@ -62,11 +61,11 @@
 	c.Assert(m, qt.Equals, b0)
 }
 
-// TestNeighbourThatLeftIsForgotten guards against heartbeats to nodes that are gone.
-func TestNeighbourThatLeftIsForgotten(t *testing.T) {
+// Nodes that have left the fleet must be removed and receive no heartbeats.
+func TestNeighbourThatLeftTheFleetIsRemoved(t *testing.T) {
 	c := qt.New(t)
 	n := neighbours()
-	fleet := grown()
+	fleet := newFleet()
 	n.RecordFailure(now, fleet.Members[2])
 	n.RecordUnsupported(now, fleet.Members[3])
 	_, due := n.NextProbe(now.Add(time.Hour), coordinator.Fleet{})
--- a/policy/coordinator/size.go
+++ b/policy/coordinator/size.go
@@ -3,51 +3,51 @@
 import "time"
 
 const (
-	// rememberFor is how long a node counts after its registration has vanished. A
-	// registration can be revoked while its node works on, and budgets that are divided
-	// among too few nodes would exceed the fleet's bound.
-	rememberFor = 25 * time.Second
-	// DefaultFleetSize stands in for the size of the fleet while no node is known.
+	// registrationGrace is how long a node counts after its registration is removed. A
+	// registration can be revoked while its node still runs. Budgets divided among too
+	// few nodes would exceed the limit of the fleet.
+	registrationGrace = 25 * time.Second
+	// DefaultFleetSize is the assumed fleet size while no registration is available.
 	DefaultFleetSize = 16
 )
 
-// registration is what is known of one node of the fleet.
+// registration is the state of one node of the fleet.
 type registration struct {
 	member Member
-	// vanished is when the node was last known to be registered; the zero time while
-	// it is.
-	vanished time.Time
+	// removedAt is when the registration was removed; zero while it exists.
+	removedAt time.Time
 }
 
-// Registrations collects the fleet's nodes from the store's records, by record name.
+// Registrations collects the nodes of the fleet from the store's records, by record name.
 // Not safe for concurrent use.
 type Registrations struct {
 	nodes    map[string]*registration
 	revision uint64
 }
 
-// NewRegistrations returns none.
+// NewRegistrations returns an empty collection.
 func NewRegistrations() *Registrations {
 	return &Registrations{nodes: make(map[string]*registration)}
 }
 
-// Put takes the record of a registered node and reports whether it tells anything new.
+// Put adds or replaces the record of a node, and reports whether the fleet
+// changes.
 func (r *Registrations) Put(name string, m Member, revision uint64) bool {
 	r.revision = max(r.revision, revision)
-	before := r.nodes[name]
+	previous := r.nodes[name]
 	r.nodes[name] = &registration{member: m}
-	return before == nil || before.member != m || !before.vanished.IsZero()
+	return previous == nil || previous.member != m || !previous.removedAt.IsZero()
 }
 
-// Remove notes that a registration has vanished.
+// Remove records the removal of a registration.
 func (r *Registrations) Remove(now time.Time, name string, revision uint64) {
 	r.revision = max(r.revision, revision)
-	if n := r.nodes[name]; n != nil && n.vanished.IsZero() {
-		n.vanished = now
+	if n := r.nodes[name]; n != nil && n.removedAt.IsZero() {
+		n.removedAt = now
 	}
 }
 
-// RemoveUnlisted marks those that a complete reading did not list as vanished.
+// RemoveUnlisted removes the registrations that are missing from a complete listing.
 func (r *Registrations) RemoveUnlisted(now time.Time, listed map[string]bool, revision uint64) {
 	for name := range r.nodes {
 		if !listed[name] {
@@ -56,12 +56,12 @@
 	}
 }
 
-// Fleet returns the nodes that count now, those whose registration vanished a short
-// while ago among them.
+// Fleet returns the registered nodes, and those whose registration was removed within
+// registrationGrace.
 func (r *Registrations) Fleet(now time.Time) Fleet {
 	f := Fleet{Revision: r.revision}
 	for name, n := range r.nodes {
-		if !n.vanished.IsZero() && now.Sub(n.vanished) > rememberFor {
+		if !n.removedAt.IsZero() && now.Sub(n.removedAt) > registrationGrace {
 			delete(r.nodes, name)
 			continue
 		}
@@ -70,18 +70,18 @@
 	return f
 }
 
-// SizeFor returns the fleet's capacity in units of a node's own: the number by which it
-// divides what the fleet may do together. Nodes of unequal size take unequal shares.
+// SizeFor returns the capacity of the fleet divided by that of the node, at least 1.
+// The node's share of a fleet-wide limit is the limit divided by this number.
 func (f Fleet) SizeFor(own Member) float64 {
 	if own.Capacity <= 0 || len(f.Members) == 0 {
 		return DefaultFleetSize
 	}
-	sum, known := 0.0, false
+	sum, listed := 0.0, false
 	for _, m := range f.Members {
 		sum += m.Capacity
-		known = known || m.Node == own.Node
+		listed = listed || m.Node == own.Node
 	}
-	if !known {
+	if !listed {
 		sum += own.Capacity
 	}
 	return max(1, sum/own.Capacity)
