--- a/policy/gather/batch.go
+++ b/policy/gather/batch.go
@@ -1,17 +1,17 @@
 package gather
 
-// minBatch is the least number of attempts that are worth a message to a node next to
-// their replicas.
-const minBatch = 4
+// minBatchAttempts is the least number of attempts that justifies a message to another
+// node.
+const minBatchAttempts = 4
 
-// Batches groups first attempts by the data centres of their replicas: those of each data
-// centre but the own one go through a node there, in one message, and their parts come
-// back merged.
+// Batches groups first attempts by the data centre of their replicas. The attempts of each
+// remote data centre go to a node there in one message, and their parts return merged.
+// Attempts in the own data centre and in small groups are sent one by one.
 //
-// It answers gathers over dozens of shards whose replicas are spread over many data
-// centres, when each part crosses between them with headers of its own and leaves one
-// processor after the other. centres holds the data centre of each attempt; the result
-// holds positions in it. Attempts in no batch are sent one by one.
+// Without batches, a gather over dozens of shards transfers each part between data centres
+// with its own headers, and each part costs processor time separately.
+//
+// centres holds the data centre of each attempt; the result holds indexes into it.
 func Batches(own string, centres []string) map[string][]int {
 	batches := make(map[string][]int)
 	for i, name := range centres {
@@ -20,7 +20,7 @@
 		}
 	}
 	for name, batch := range batches {
-		if len(batch) < minBatch {
+		if len(batch) < minBatchAttempts {
 			delete(batches, name)
 		}
 	}
--- a/policy/gather/batch_test.go
+++ b/policy/gather/batch_test.go
@@ -8,9 +8,8 @@
 	"github.com/carobmill/carobmill/policy/gather"
 )
 
-// TestPartsThatCrossTravelTogether replays a gather over shards that are spread over three
-// data centres: those next door and small groups are asked one by one.
-func TestPartsThatCrossTravelTogether(t *testing.T) {
+// Local attempts and groups that are too small must be sent one by one.
+func TestRemoteAttemptsAreBatchedByDataCentre(t *testing.T) {
 	c := qt.New(t)
 	var centres []string
 	for range 5 {
--- a/policy/gather/gather.go
+++ b/policy/gather/gather.go
@@ -1,57 +1,58 @@
-// Package gather decides the life of one request: which shards get another attempt
-// and when, and when the answer is given with the coverage that was reached. A request
-// that a single replica answers is a gather over one shard. Nothing in it does I/O or
-// reads a clock.
+// Package gather is the state machine of one request: which shards receive another
+// attempt and when, and when the answer is returned and with which coverage. A request
+// to a single replica is a gather over one shard. The package does no I/O and reads no
+// clock.
 package gather
 
 import "time"
 
-// Params of one request; times are counted from its arrival.
+// Params are the parameters of one request. Times count from its arrival.
 type Params struct {
 	Shards int
-	// MaxAttempts bounds the replicas of each shard that get the request.
+	// MaxAttempts is the largest number of replicas per shard that receive the request.
 	MaxAttempts int
-	// MinCoverage is the least share of shards that makes a success.
+	// MinCoverage is the least share of shards for a success, from 0 to 1.
 	MinCoverage float64
-	// Objective is when an answer loses most of its use.
+	// Objective is the target response time. From then on, an answer with MinCoverage is
+	// returned without the remaining shards.
 	Objective time.Duration
-	// Deadline is when the request ends whatever was reached.
+	// Deadline ends the request, whatever its coverage.
 	Deadline time.Duration
 	// Idempotent requests may run more than once.
 	Idempotent bool
 }
 
-// Decision says what becomes of the request now.
+// Decision is what happens to the request next.
 type Decision int
 
-// Decisions.
+// Decisions on a request.
 const (
-	// Wait for the next result or moment.
+	// Wait for the next result or timer.
 	Wait Decision = iota
-	// Success with the parts that are in.
+	// Success returns the parts received so far.
 	Success
-	// Failure: the least coverage cannot be reached any more.
+	// Failure means that MinCoverage can no longer be reached.
 	Failure
-	// DeadlineExceeded: the deadline has come first.
+	// DeadlineExceeded means that the deadline has passed without a success.
 	DeadlineExceeded
 )
 
 // shard is the state of one shard.
 type shard struct {
 	attempts int
-	out      int
+	inFlight int
 	lastSent time.Duration
 	answered bool
-	// lost shards have no attempt out and none left.
+	// lost shards have no attempt in flight and none left to send.
 	lost bool
-	// denied is set once no further attempt may be sent.
-	denied bool
-	// troubled is set once an attempt has failed.
-	troubled bool
-	// refusals is how often the shard was tried again after a refusal, and againAt when
-	// that is due next; 0 when it is not.
-	refusals int
-	againAt  time.Duration
+	// exhausted is set when no further attempt may be sent.
+	exhausted bool
+	// hadFailure is set when an attempt has failed.
+	hadFailure bool
+	// refusalRetries counts the retries after refusals. retryAt is when the next one is
+	// sent; 0 when none is scheduled.
+	refusalRetries int
+	retryAt        time.Duration
 }
 
 // Query is the state of one request. Not safe for concurrent use.
@@ -62,23 +63,23 @@
 	lost     int
 }
 
-// New returns a query with no attempt sent.
+// New returns a query without attempts.
 func New(p Params) *Query {
 	return &Query{params: p, shards: make([]shard, p.Shards)}
 }
 
-// Sent counts an attempt for a shard.
+// Sent records an attempt for a shard.
 func (q *Query) Sent(i int, at time.Duration) {
 	s := &q.shards[i]
 	s.attempts++
-	s.out++
+	s.inFlight++
 	s.lastSent = at
 }
 
-// Answered takes a shard's part, and reports whether it is the first.
+// Answered records a shard's part, and reports whether it is the shard's first.
 func (q *Query) Answered(i int) bool {
 	s := &q.shards[i]
-	s.out--
+	s.inFlight--
 	if s.answered {
 		return false
 	}
@@ -91,137 +92,136 @@
 	return true
 }
 
-// Failed takes the failure of an attempt, and reports whether another one should be
-// sent at once. counts is false when the attempt reached no replica of the shard.
+// Failed records a failed attempt, and reports whether another should be sent at once.
+// counts is false when the attempt reached no replica of the shard.
 func (q *Query) Failed(i int, counts bool) (retry bool) {
 	s := &q.shards[i]
-	s.out--
-	s.troubled = true
+	s.inFlight--
+	s.hadFailure = true
 	if !counts {
 		s.attempts--
 	}
 	if s.answered {
 		return false
 	}
-	return s.attempts < q.params.MaxAttempts && !s.denied
+	return s.attempts < q.params.MaxAttempts && !s.exhausted
 }
 
 const (
-	// maxRefusals is how often a shard is tried again at replicas that refused, when
-	// its attempts are used up, and refusalPause the pause before the first of these;
-	// it doubles each time. A refused attempt has not run, so that it may be sent to the
-	// same replica again; replicas work a queue off in some ten milliseconds.
-	maxRefusals  = 4
-	refusalPause = 5 * time.Millisecond
+	// maxRefusalRetries is the number of retries at replicas that refused, once the
+	// attempts of a shard are used up. refusalBackoff is the pause before the first; it
+	// doubles each time. A refused attempt has not run, so the same replica may receive
+	// it again. Replicas drain a full queue within some ten milliseconds.
+	maxRefusalRetries = 4
+	refusalBackoff    = 5 * time.Millisecond
 )
 
-// ScheduleRetry makes the shard wait for another attempt at a replica that refused, and
-// reports whether it does. It answers half of the replicas refusing every second request
-// for seconds, when two attempts a shard lose more shards than an answer may lack.
+// ScheduleRetry schedules another attempt at a replica that refused, and reports whether one
+// is left. Without these retries, replicas that refuse every second request cause more lost
+// shards than MinCoverage allows.
 func (q *Query) ScheduleRetry(i int, now time.Duration) bool {
 	s := &q.shards[i]
-	if s.answered || s.denied || s.out > 0 || s.refusals >= maxRefusals {
+	if s.answered || s.exhausted || s.inFlight > 0 || s.refusalRetries >= maxRefusalRetries {
 		return false
 	}
-	s.againAt = now + refusalPause<<s.refusals
-	s.refusals++
+	s.retryAt = now + refusalBackoff<<s.refusalRetries
+	s.refusalRetries++
 	return true
 }
 
-// SendDueRetries calls send for each shard whose time to be tried again has come, and returns when
-// the next one's does, or the deadline.
+// SendDueRetries calls send for each shard whose scheduled retry is due. It returns the time
+// of the next retry, or the deadline.
 func (q *Query) SendDueRetries(now time.Duration, send func(i int)) time.Duration {
 	next := q.params.Deadline
 	for i := range q.shards {
 		s := &q.shards[i]
 		switch {
-		case s.againAt == 0:
-		case now >= s.againAt:
-			s.againAt = 0
+		case s.retryAt == 0:
+		case now >= s.retryAt:
+			s.retryAt = 0
 			send(i)
 		default:
-			next = min(next, s.againAt)
+			next = min(next, s.retryAt)
 		}
 	}
 	return next
 }
 
-// RetrySent counts an attempt at a replica that had one before.
+// RetrySent records an attempt at a replica that has already received one for the shard.
 func (q *Query) RetrySent(i int, at time.Duration) {
 	s := &q.shards[i]
-	s.out++
+	s.inFlight++
 	s.lastSent = at
 }
 
-// Dispensable reports whether the answer would still be a success without this shard and
-// all others that an attempt has failed for. While the budget for extra requests is
-// short, its last part is for shards that decide whether there is an answer at all.
+// Dispensable reports whether the request can succeed without shard i and all other
+// unanswered shards that had a failure. When the budget for extra requests runs low, the remainder is
+// reserved for shards that are not dispensable.
 func (q *Query) Dispensable(i int) bool {
 	missing := 1
 	for k := range q.shards {
 		s := &q.shards[k]
-		if k != i && !s.answered && (s.lost || s.troubled) {
+		if k != i && !s.answered && (s.lost || s.hadFailure) {
 			missing++
 		}
 	}
-	return q.enough(len(q.shards) - missing)
+	return q.sufficient(len(q.shards) - missing)
 }
 
-// HasUntriedReplica reports whether the shard may be sent to a replica that has not had it.
+// HasUntriedReplica reports whether another replica may receive the shard's request.
 func (q *Query) HasUntriedReplica(i int) bool { return q.shards[i].attempts < q.params.MaxAttempts }
 
-// GiveUp notes that no further attempt can be sent for the shard: there is no replica
-// left, no budget, or it may not run again.
+// GiveUp records that no further attempt can be sent for the shard: no replica or budget is
+// left, or the request may not run again.
 func (q *Query) GiveUp(i int) {
-	q.shards[i].denied = true
+	q.shards[i].exhausted = true
 	q.MarkLostIfIdle(i)
 }
 
-// MarkLostIfIdle counts the shard as lost if no attempt is out, after one that failed and was
-// not followed by another.
+// MarkLostIfIdle counts the shard as lost if it has no answer, no attempt in flight and no
+// scheduled retry.
 func (q *Query) MarkLostIfIdle(i int) {
 	s := &q.shards[i]
-	if s.answered || s.lost || s.out > 0 || s.againAt > 0 {
+	if s.answered || s.lost || s.inFlight > 0 || s.retryAt > 0 {
 		return
 	}
 	s.lost = true
 	q.lost++
 }
 
-// HasAnswer reports whether the shard's part is in.
+// HasAnswer reports whether the shard's part has arrived.
 func (q *Query) HasAnswer(i int) bool { return q.shards[i].answered }
 
-// Coverage is the share of shards whose parts are in.
+// Coverage returns the share of shards whose parts have arrived.
 func (q *Query) Coverage() float64 {
 	return float64(q.answered) / float64(len(q.shards))
 }
 
-// enough reports whether that many shards make a success.
-func (q *Query) enough(shards int) bool {
+// sufficient reports whether the given number of shards reaches MinCoverage.
+func (q *Query) sufficient(shards int) bool {
 	if shards == 0 {
 		return false
 	}
-	return float64(shards) >= q.params.MinCoverage*float64(len(q.shards))-coverageSlack
+	return float64(shards) >= q.params.MinCoverage*float64(len(q.shards))-coverageTolerance
 }
 
-// coverageSlack absorbs the rounding of a share that was sent as a decimal.
-const coverageSlack = 1e-9
+// coverageTolerance absorbs the rounding of a share that was sent as a decimal.
+const coverageTolerance = 1e-9
 
-// Decide decides what becomes of the request, and when to look again at the latest.
+// Decide returns the decision at now, and for Wait the time of the next call at the latest.
 //
-// An answer that has the least coverage is given at the objective without waiting for
-// the last shards: later it has little use, and a caller who waits for one shard that
-// stands still waits for all. Before the objective it waits for every shard that can
-// still answer.
+// Until the objective, the request waits for every shard that can still answer. From the
+// objective on, an answer with MinCoverage is returned at once: otherwise one stalled shard
+// would delay the whole answer.
 func (q *Query) Decide(now time.Duration) (Decision, time.Duration) {
 	total := len(q.shards)
-	open := total - q.answered - q.lost
+	pending := total - q.answered - q.lost
 	switch {
-	case open == 0 && q.enough(q.answered):
+	case pending == 0 && q.sufficient(q.answered):
 		return Success, 0
-	case !q.enough(total - q.lost):
+	case !q.sufficient(total - q.lost):
 		return Failure, 0
-	case q.enough(q.answered) && now >= q.params.Objective:
+	case q.sufficient(q.answered) && now >= q.params.Objective:
 		return Success, 0
 	case now >= q.params.Deadline:
 		return DeadlineExceeded, 0
@@ -231,10 +231,10 @@
 	return Wait, q.params.Deadline
 }
 
-// Hedges calls send for each shard whose attempt is due for a hedge: it has been out
-// for what after says, and another may be sent. It returns when to call it again, or the
-// deadline. after is called only for attempts that have been out for earliest, the
-// shortest time that it may say.
+// Hedges calls send for each shard whose newest attempt has been in flight for the time that
+// after returns, if another attempt is allowed. It returns the time of the next call, or the
+// deadline. earliest is the least value of after, which is called only for attempts that
+// have been in flight that long.
 func (q *Query) Hedges(now, earliest time.Duration, after func(i int) time.Duration, send func(i int)) time.Duration {
 	next := q.params.Deadline
 	if !q.params.Idempotent {
@@ -242,7 +242,7 @@
 	}
 	for i := range q.shards {
 		s := &q.shards[i]
-		if s.answered || s.lost || s.denied || s.out == 0 || s.attempts >= q.params.MaxAttempts {
+		if s.answered || s.lost || s.exhausted || s.inFlight == 0 || s.attempts >= q.params.MaxAttempts {
 			continue
 		}
 		due := s.lastSent + earliest
--- a/policy/gather/gather_test.go
+++ b/policy/gather/gather_test.go
@@ -14,16 +14,16 @@
 
 const ms = time.Millisecond
 
-func ten() gather.Params {
+func tenShards() gather.Params {
 	return gather.Params{
 		Shards: 10, MaxAttempts: 2, MinCoverage: 0.89,
 		Objective: 120 * ms, Deadline: 1200 * ms, Idempotent: true,
 	}
 }
 
-// started returns a query with one attempt of each shard out, and all but the last
-// open ones answered.
-func started(p gather.Params, open int) *gather.Query {
+// startedQuery returns a query with one attempt sent for each shard, and answers to all but
+// the last pending ones.
+func startedQuery(p gather.Params, open int) *gather.Query {
 	q := gather.New(p)
 	for i := range p.Shards {
 		q.Sent(i, 0)
@@ -34,26 +34,23 @@
 	return q
 }
 
-// One shard stands still. Until the objective the caller waits for it; then an answer
-// without it is worth more than a whole one that comes late.
-func TestAnswerIsGivenAtTheObjectiveWithTheLeastCoverage(t *testing.T) {
+// One stalled shard must not delay an answer with sufficient coverage past the objective.
+func TestSufficientAnswerIsReturnedAtTheObjective(t *testing.T) {
 	c := qt.New(t)
-	q := started(ten(), 1)
-	verdict, look := q.Decide(50 * ms)
-	c.Assert(verdict, qt.Equals, gather.Wait)
-	c.Assert(look, qt.Equals, 120*ms)
-	verdict, _ = q.Decide(120 * ms)
-	c.Assert(verdict, qt.Equals, gather.Success)
+	q := startedQuery(tenShards(), 1)
+	decision, wakeUp := q.Decide(50 * ms)
+	c.Assert(decision, qt.Equals, gather.Wait)
+	c.Assert(wakeUp, qt.Equals, 120*ms)
+	decision, _ = q.Decide(120 * ms)
+	c.Assert(decision, qt.Equals, gather.Success)
 	c.Assert(q.Coverage(), qt.Equals, 0.9)
 }
 
-// Half of the replicas refuse every second request. Two attempts of a shard were refused,
-// and a third replica may not get the request. What was refused has not run: the shard is
-// tried again after a pause at one of the two, four times with pauses that double, and
-// counts as lost only then.
-func TestRefusedShardIsTriedAgain(t *testing.T) {
+// A refused attempt has not run. When the attempts of a shard are used up, it must be retried
+// at a replica that refused, with backoff, and counts as lost only after the last retry.
+func TestRefusedShardIsRetriedWithBackoff(t *testing.T) {
 	c := qt.New(t)
-	q := started(ten(), 1)
+	q := startedQuery(tenShards(), 1)
 	c.Assert(q.Failed(9, true), qt.IsTrue)
 	q.Sent(9, 1*ms)
 	c.Assert(q.Failed(9, true), qt.IsFalse)
@@ -61,10 +58,10 @@
 	for _, pause := range []time.Duration{5 * ms, 10 * ms, 20 * ms, 40 * ms} {
 		c.Assert(q.ScheduleRetry(9, at), qt.IsTrue)
 		q.MarkLostIfIdle(9)
-		next := q.SendDueRetries(at, func(int) { t.Fatal("sent too early") })
+		next := q.SendDueRetries(at, func(int) { t.Fatal("retry sent before its backoff ended") })
 		c.Assert(next, qt.Equals, at+pause)
-		verdict, _ := q.Decide(at)
-		c.Assert(verdict, qt.Equals, gather.Wait)
+		decision, _ := q.Decide(at)
+		c.Assert(decision, qt.Equals, gather.Wait)
 		at = next
 		sent := 0
 		q.SendDueRetries(at, func(i int) { sent++; q.RetrySent(i, at) })
@@ -73,16 +70,15 @@
 	}
 	c.Assert(q.ScheduleRetry(9, at), qt.IsFalse)
 	q.MarkLostIfIdle(9)
-	verdict, _ := q.Decide(at)
-	c.Assert(verdict, qt.Equals, gather.Success)
+	decision, _ := q.Decide(at)
+	c.Assert(decision, qt.Equals, gather.Success)
 }
 
-// Four of five replicas refuse most requests, and the budget for extra requests is nearly
-// spent. Nine shards of ten make an answer: the first that was refused can be done
-// without, the second cannot.
-func TestLastPartOfTheBudgetIsForShardsThatDecide(t *testing.T) {
+// Nine shards of ten are sufficient: the first failed shard is dispensable, the second is
+// not.
+func TestShardIsDispensableWhileCoverageSuffices(t *testing.T) {
 	c := qt.New(t)
-	q := started(ten(), 4)
+	q := startedQuery(tenShards(), 4)
 	q.Failed(9, true)
 	c.Assert(q.Dispensable(9), qt.IsTrue)
 	q.Failed(8, true)
@@ -96,45 +92,43 @@
 	c.Assert(one.Dispensable(0), qt.IsFalse)
 }
 
-// Two shards of ten stand still and nine are needed: the caller waits on, and gets the
-// answer with the ninth, or a final one at the deadline.
-func TestBelowTheLeastCoverageTheCallerWaits(t *testing.T) {
+// Below the least coverage, the request must wait past the objective, up to the deadline.
+func TestInsufficientAnswerWaitsUntilTheDeadline(t *testing.T) {
 	c := qt.New(t)
-	q := started(ten(), 2)
-	verdict, look := q.Decide(130 * ms)
-	c.Assert(verdict, qt.Equals, gather.Wait)
-	c.Assert(look, qt.Equals, 1200*ms)
-	verdict, _ = q.Decide(1200 * ms)
-	c.Assert(verdict, qt.Equals, gather.DeadlineExceeded)
+	q := startedQuery(tenShards(), 2)
+	decision, wakeUp := q.Decide(130 * ms)
+	c.Assert(decision, qt.Equals, gather.Wait)
+	c.Assert(wakeUp, qt.Equals, 1200*ms)
+	decision, _ = q.Decide(1200 * ms)
+	c.Assert(decision, qt.Equals, gather.DeadlineExceeded)
 	q.Answered(8)
-	verdict, _ = q.Decide(200 * ms)
-	c.Assert(verdict, qt.Equals, gather.Success)
+	decision, _ = q.Decide(200 * ms)
+	c.Assert(decision, qt.Equals, gather.Success)
 }
 
-// Shards are lost one after the other. The request fails as soon as the least coverage
-// is out of reach, and succeeds as soon as nothing is left to wait for.
-func TestLostShardsEndTheWait(t *testing.T) {
+// The request must fail as soon as the least coverage cannot be reached, and succeed as soon
+// as no shard is pending.
+func TestRequestEndsWhenNoShardIsPending(t *testing.T) {
 	c := qt.New(t)
-	q := started(ten(), 1)
+	q := startedQuery(tenShards(), 1)
 	c.Assert(q.Failed(9, true), qt.IsTrue)
 	q.GiveUp(9)
-	verdict, _ := q.Decide(10 * ms)
-	c.Assert(verdict, qt.Equals, gather.Success, qt.Commentf("nine of ten, and nothing to wait for"))
+	decision, _ := q.Decide(10 * ms)
+	c.Assert(decision, qt.Equals, gather.Success, qt.Commentf("nine of ten shards answered, none pending"))
 
-	q = started(ten(), 2)
+	q = startedQuery(tenShards(), 2)
 	q.Failed(9, true)
 	q.GiveUp(9)
 	q.Failed(8, true)
 	q.GiveUp(8)
-	verdict, _ = q.Decide(10 * ms)
-	c.Assert(verdict, qt.Equals, gather.Failure)
+	decision, _ = q.Decide(10 * ms)
+	c.Assert(decision, qt.Equals, gather.Failure)
 }
 
-// A shard is hedged while its first attempt is out; the attempt fails and the hedge
-// answers. The shard must not count as lost.
-func TestHedgeOutlivesTheFirstAttempt(t *testing.T) {
+// A shard must not count as lost while its hedge is in flight.
+func TestShardWithHedgeInFlightIsNotLost(t *testing.T) {
 	c := qt.New(t)
-	q := started(ten(), 1)
+	q := startedQuery(tenShards(), 1)
 	var hedged []int
 	send := func(i int) {
 		hedged = append(hedged, i)
@@ -145,29 +139,29 @@
 	c.Assert(hedged, qt.HasLen, 0)
 	q.Hedges(30*ms, 30*ms, after, send)
 	c.Assert(hedged, qt.DeepEquals, []int{9})
-	c.Assert(q.Failed(9, true), qt.IsFalse, qt.Commentf("both attempts are used"))
+	c.Assert(q.Failed(9, true), qt.IsFalse, qt.Commentf("MaxAttempts is reached"))
 	q.MarkLostIfIdle(9)
-	verdict, _ := q.Decide(40 * ms)
-	c.Assert(verdict, qt.Equals, gather.Wait)
+	decision, _ := q.Decide(40 * ms)
+	c.Assert(decision, qt.Equals, gather.Wait)
 	c.Assert(q.Answered(9), qt.IsTrue)
-	verdict, _ = q.Decide(41 * ms)
-	c.Assert(verdict, qt.Equals, gather.Success)
+	decision, _ = q.Decide(41 * ms)
+	c.Assert(decision, qt.Equals, gather.Success)
 }
 
-// A request that may run once is never hedged, however long it takes.
+// A request that is not idempotent must not be hedged, however long it takes.
 func TestNonIdempotentRequestIsNotHedged(t *testing.T) {
 	c := qt.New(t)
-	p := ten()
+	p := tenShards()
 	p.Shards, p.MinCoverage, p.Idempotent = 1, 1, false
 	q := gather.New(p)
 	q.Sent(0, 0)
-	q.Hedges(time.Second, ms, func(int) time.Duration { return ms }, func(int) { c.Fatal("hedged") })
+	q.Hedges(time.Second, ms, func(int) time.Duration { return ms }, func(int) { c.Fatal("hedge sent for a request that is not idempotent") })
 }
 
-// An attempt that reached no replica does not use up the attempts of its shard.
-func TestAttemptThatReachedNobodyDoesNotCount(t *testing.T) {
+// An attempt that reached no replica must not use up the attempts of its shard.
+func TestAttemptThatReachedNoReplicaDoesNotCount(t *testing.T) {
 	c := qt.New(t)
-	p := ten()
+	p := tenShards()
 	p.MaxAttempts = 1
 	q := gather.New(p)
 	q.Sent(0, 0)
@@ -199,7 +193,7 @@
 	}
 }
 
-// The merge of a query over ten shards: 25 records each, the 20 greatest wanted.
+// The input is a query over ten shards, with 25 records each.
 func BenchmarkGreatest(b *testing.B) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var parts [][]byte
--- a/policy/gather/hedge.go
+++ b/policy/gather/hedge.go
@@ -7,51 +7,50 @@
 )
 
 const (
-	// hedgeQuantile is the part of attempts that answer before a hedge is due, and
-	// hedgeFactor what is waited beyond that: earlier hedges find mostly answers that
-	// were about to come.
+	// hedgeQuantile is the fraction of attempts that answer before a hedge, and
+	// hedgeFactor extends the wait. Without it, most hedges race answers that are about
+	// to arrive.
 	hedgeQuantile = 0.9
 	hedgeFactor   = 1.1
-	// hedgeSamples is how many latencies the quantile needs.
-	hedgeSamples = 30
-	// hedgeObjectiveShare of the objective is the wait while too little is known,
-	// and the longest wait: a hedge sent later could not answer inside the objective.
-	hedgeObjectiveShare = 0.5
-	// scarceFrom is the share of the budget that may be used before hedges wait for the
-	// last moment.
-	scarceFrom = 0.75
-	// minHedge keeps hedges of very short requests apart from timer noise.
-	minHedge = 8 * time.Millisecond
+	// minHedgeSamples is the number of latencies that the quantile needs.
+	minHedgeSamples = 30
+	// maxDelayShare is the longest wait as a share of the objective, and the wait without
+	// enough samples. A later hedge could not answer within the objective.
+	maxDelayShare = 0.5
+	// fullDelayShare is the used share of the budget from which the delay is longest.
+	fullDelayShare = 0.75
+	// minHedgeDelay keeps timer noise from causing hedges of very short requests.
+	minHedgeDelay = 8 * time.Millisecond
 )
 
-// HedgeDelay says how long an attempt may be out before another replica is asked too.
+// HedgeDelay is the time that an attempt may be in flight before a hedge is sent.
 type HedgeDelay struct {
-	// earliest is when the attempt is late beside others of its class, and latest when a
-	// hedge can still answer inside the objective.
+	// earliest is when the attempt is slow for its class. latest is when a hedge can still
+	// answer within the objective.
 	earliest, latest time.Duration
 }
 
-// NewHedgeDelay works it out for a class. recent are the latencies of its first attempts.
+// NewHedgeDelay derives the delay from recent latencies of the first attempts of a class.
 func NewHedgeDelay(recent *hedge.Quantile, objective time.Duration) HedgeDelay {
-	longest := time.Duration(hedgeObjectiveShare * float64(objective))
-	if recent.Count() < hedgeSamples {
-		due := max(minHedge, longest)
+	longest := time.Duration(maxDelayShare * float64(objective))
+	if recent.Count() < minHedgeSamples {
+		due := max(minHedgeDelay, longest)
 		return HedgeDelay{earliest: due, latest: due}
 	}
-	usual := time.Duration(hedgeFactor * float64(recent.At(hedgeQuantile)))
-	earliest := max(minHedge, min(usual, longest))
-	// A hedge takes about as long as earliest itself; as much again is left for others
-	// that are ahead of it.
+	typical := time.Duration(hedgeFactor * float64(recent.At(hedgeQuantile)))
+	earliest := max(minHedgeDelay, min(typical, longest))
+	// A hedge takes about as long as earliest. The same time again is reserved for queueing
+	// behind other hedges.
 	return HedgeDelay{earliest: earliest, latest: max(earliest, min(longest, objective-2*earliest))}
 }
 
-// Min returns the shortest wait before a hedge.
+// Min returns the shortest delay.
 func (h HedgeDelay) Min() time.Duration { return h.earliest }
 
-// After returns the wait before a hedge while a share, 0 to 1, of the budget for hedges is
-// used. The more of it is used, the closer hedges move to the last moment that helps, so
-// that the rest goes to attempts at stalled replicas while many others are only slow.
-func (h HedgeDelay) After(used float64) time.Duration {
-	put := min(max(used, 0)/scarceFrom, 1)
-	return h.earliest + time.Duration(put*float64(h.latest-h.earliest))
+// After returns the delay for the used share of the hedge budget, from 0 to 1. It grows with
+// that share. When many attempts are slow, the remaining budget thus goes to attempts at
+// stalled replicas.
+func (h HedgeDelay) After(usedShare float64) time.Duration {
+	fraction := min(max(usedShare, 0)/fullDelayShare, 1)
+	return h.earliest + time.Duration(fraction*float64(h.latest-h.earliest))
 }
--- a/policy/gather/hedge_test.go
+++ b/policy/gather/hedge_test.go
@@ -12,8 +12,8 @@
 	"github.com/carobmill/carobmill/policy/retrybudget"
 )
 
-// usually returns the latencies of a class whose attempts take 10 to 19 ms.
-func usually() *hedge.Quantile {
+// typicalLatencies returns the latencies of a class whose attempts take 10 to 19 ms.
+func typicalLatencies() *hedge.Quantile {
 	var recent hedge.Quantile
 	for i := range 1000 {
 		recent.Observe(time.Duration(10+i%10) * ms)
@@ -21,12 +21,12 @@
 	return &recent
 }
 
-// Hedges follow what attempts usually take, and come early enough to answer inside the
-// objective even where little is known.
+// Hedges must follow recent latencies, and leave time to answer within the objective even
+// with few samples.
 func TestHedgeFollowsRecentLatencies(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(gather.NewHedgeDelay(&hedge.Quantile{}, 120*ms).After(0), qt.Equals, 60*ms)
-	recent := usually()
+	recent := typicalLatencies()
 	due := gather.NewHedgeDelay(recent, 120*ms).After(0)
 	c.Assert(due >= 19*ms && due <= 23*ms, qt.IsTrue, qt.Commentf("%v", due))
 	for range 1000 {
@@ -35,24 +35,22 @@
 	c.Assert(gather.NewHedgeDelay(recent, 120*ms).After(0), qt.Equals, 60*ms)
 }
 
-// However much of the budget is used, a hedge is sent while its answer can still come
-// inside the objective.
-func TestHedgeIsNotPutOffPastItsUse(t *testing.T) {
+// However much of the budget is used, a hedge must leave time to answer within the objective.
+func TestHedgeDelayLeavesTimeToAnswer(t *testing.T) {
 	c := qt.New(t)
-	h := gather.NewHedgeDelay(usually(), 120*ms)
+	h := gather.NewHedgeDelay(typicalLatencies(), 120*ms)
 	c.Assert(h.After(1) > h.After(0.5), qt.IsTrue)
 	c.Assert(h.After(0.5) > h.After(0), qt.IsTrue)
 	c.Assert(h.After(2), qt.Equals, h.After(1))
 	c.Assert(h.After(1) <= 60*ms, qt.IsTrue)
-	tight := gather.NewHedgeDelay(usually(), 50*ms)
+	tight := gather.NewHedgeDelay(typicalLatencies(), 50*ms)
 	c.Assert(tight.After(1) <= 25*ms, qt.IsTrue, qt.Commentf("%v", tight.After(1)))
 }
 
-// Replicas turn slow: one attempt in six takes 25 to 60 ms of an objective of 100, and one
-// in thirty meets a replica that stands still. The budget bears hedges for one attempt in
-// sixteen. Callers whose attempt stands still miss the objective unless it is hedged: at
-// least three of four must be, although five times as many are late beside others.
-func TestScarceHedgesGoToAttemptsThatStandStill(t *testing.T) {
+// One attempt in six is slow, one in thirty is stalled, and the budget allows a hedge for one
+// in sixteen. At least three of four stalled attempts must be hedged: without a hedge they
+// miss the objective.
+func TestScarceHedgesGoToStalledAttempts(t *testing.T) {
 	c := qt.New(t)
 	const (
 		objective = 100 * ms
@@ -60,31 +58,31 @@
 		requests  = 6000
 	)
 	rng := rand.New(rand.NewPCG(7, 8))
-	hedging := gather.NewHedgeDelay(usually(), objective)
+	hedgeDelay := gather.NewHedgeDelay(typicalLatencies(), objective)
 	start := time.Unix(1000, 0)
 	budget := retrybudget.New(retrybudget.Bound{Ratio: 0.12, Slack: 0, Window: 10 * time.Second}, start)
-	standing, hedged := 0, 0
+	stalledCount, hedgedCount := 0, 0
 	for i := range requests {
 		now := start.Add(time.Duration(i) * interval)
 		budget.Request(now)
 		took := 12 * ms
-		stands := false
+		stalled := false
 		switch p := rng.Float64(); {
 		case p < 1.0/30:
-			took, stands = time.Second, true
+			took, stalled = time.Second, true
 		case p < 1.0/30+1.0/6:
 			took = 25*ms + time.Duration(rng.Int64N(int64(35*ms)))
 		}
 		warm := i*2 >= requests
-		if stands && warm {
-			standing++
+		if stalled && warm {
+			stalledCount++
 		}
-		if took <= hedging.After(budget.SpareUsed(now, 1)) || !budget.TakeSpare(now, 1) {
+		if took <= hedgeDelay.After(budget.SpareUsed(now, 1)) || !budget.TakeSpare(now, 1) {
 			continue
 		}
-		if stands && warm {
-			hedged++
+		if stalled && warm {
+			hedgedCount++
 		}
 	}
-	c.Assert(hedged*4 >= standing*3, qt.IsTrue, qt.Commentf("%d of %d attempts that stood still were hedged", hedged, standing))
+	c.Assert(hedgedCount*4 >= stalledCount*3, qt.IsTrue, qt.Commentf("%d of %d stalled attempts were hedged", hedgedCount, stalledCount))
 }
--- a/policy/gather/merge.go
+++ b/policy/gather/merge.go
@@ -8,7 +8,7 @@
 // RecordBytes is the size of one record of a shard's part.
 const RecordBytes = 16
 
-// record is one record as two numbers, whose order is that of its bytes.
+// record is a record as two big-endian numbers, which compare in the same order as its bytes.
 type record struct {
 	high, low uint64
 }
@@ -21,11 +21,10 @@
 	return r.high < o.high || r.high == o.high && r.low < o.low
 }
 
-// Greatest returns the n greatest records of all parts, greatest first, compared byte
-// by byte; equal records all count. A rest shorter than a record is not one.
+// Greatest returns the n greatest records of all parts in descending byte order. Duplicates
+// count separately, and a trailing fragment shorter than a record is ignored.
 //
-// It keeps the n greatest so far in order, so that most records are passed over after
-// one comparison.
+// The list of the n greatest stays sorted, so most records need only one comparison.
 func Greatest(parts [][]byte, n int) []byte {
 	if n <= 0 {
 		return nil
@@ -38,7 +37,7 @@
 	top := make([]record, 0, n)
 	for _, part := range parts {
 		for ; len(part) >= RecordBytes; part = part[RecordBytes:] {
-			top = keep(top, readRecord(part), n)
+			top = insertTop(top, readRecord(part), n)
 		}
 	}
 	merged := make([]byte, 0, len(top)*RecordBytes)
@@ -49,8 +48,8 @@
 	return merged
 }
 
-// keep inserts a record into a list of at most n, greatest first.
-func keep(top []record, r record, n int) []record {
+// insertTop inserts a record into a descending list of at most n records.
+func insertTop(top []record, r record, n int) []record {
 	if len(top) == n {
 		if !top[n-1].less(r) {
 			return top
--- a/policy/gather/reserve.go
+++ b/policy/gather/reserve.go
@@ -3,52 +3,50 @@
 import "time"
 
 const (
-	// delayFall is the part of the difference by which a delay estimate follows a shorter
-	// sample. It follows a longer one at once.
-	delayFall = 0.01
-	// startDelay stands in for a delay without a sample.
-	startDelay = 3 * time.Millisecond
-	// maxDelay bounds what a single sample counts for. A longer one is a pause of the
-	// process or a lost packet, which no answer can make room for.
-	maxDelay = 25 * time.Millisecond
-	// reserveShare is the part of an objective that a reserve may take.
-	reserveShare = 0.4
-	// DefaultReserve stands in for the reserve of a request whose sender does not say.
+	// delayDecay is the EWMA weight of a sample below the estimate. A longer sample
+	// replaces the estimate at once.
+	delayDecay = 0.01
+	// initialDelay is the estimate without samples.
+	initialDelay = 3 * time.Millisecond
+	// maxDelaySample caps a sample. Longer delays are process pauses or lost packets, for
+	// which no reserve can compensate.
+	maxDelaySample = 25 * time.Millisecond
+	// maxReserveShare is the largest share of an objective that a reserve may use.
+	maxReserveShare = 0.4
+	// DefaultReserve applies to requests whose sender sends no reserve.
 	DefaultReserve = 12 * time.Millisecond
 )
 
-// DeliveryDelay estimates how long answers take from the moment at which they are due to leave
-// until they are on their way to the caller: late timers, the way between two nodes, and
-// the wait for a busy processor.
-//
-// It answers load at which processors are busy, when answers that are due at the objective
-// reach their callers after it. Not safe for concurrent use.
+// DeliveryDelay estimates the time from the moment at which an answer should leave until it
+// is on its way to the caller. The time includes late timers, the transfer between two nodes
+// and the wait for a busy processor. Without the estimate, answers returned at the objective
+// reach callers late when processors are busy. Not safe for concurrent use.
 type DeliveryDelay struct {
 	estimate time.Duration
-	known    bool
+	observed bool
 }
 
-// Observe takes the delay of one answer.
-func (d *DeliveryDelay) Observe(took time.Duration) {
-	took = min(max(took, 0), maxDelay)
+// Observe records the delay of one answer.
+func (d *DeliveryDelay) Observe(sample time.Duration) {
+	sample = min(max(sample, 0), maxDelaySample)
 	current := d.Estimate()
-	d.estimate = max(took, current-time.Duration(delayFall*float64(current-took)))
-	d.known = true
+	d.estimate = max(sample, current-time.Duration(delayDecay*float64(current-sample)))
+	d.observed = true
 }
 
 // Estimate returns a delay that few answers exceed.
 func (d *DeliveryDelay) Estimate() time.Duration {
-	if !d.known {
-		return startDelay
+	if !d.observed {
+		return initialDelay
 	}
 	return d.estimate
 }
 
-// AnswerDeadline returns when an answer has to be given to reach its caller within the
-// objective, of which reserve is needed on the way.
+// AnswerDeadline returns when an answer must be returned to reach its caller within the
+// objective, if the transfer needs reserve.
 func AnswerDeadline(objective, reserve time.Duration) time.Duration {
 	if reserve <= 0 {
 		reserve = DefaultReserve
 	}
-	return objective - min(reserve, time.Duration(reserveShare*float64(objective)))
+	return objective - min(reserve, time.Duration(maxReserveShare*float64(objective)))
 }
--- a/policy/gather/reserve_test.go
+++ b/policy/gather/reserve_test.go
@@ -10,36 +10,34 @@
 	"github.com/carobmill/carobmill/policy/gather"
 )
 
-// TestAnswersOfABusyNodeArriveInTime guards against answers that are given at the
-// objective and reach their callers just after it, once processors are busy.
+// When processors are busy, answers must leave early enough to arrive within the objective.
 func TestAnswersOfABusyNodeArriveInTime(t *testing.T) {
 	c := qt.New(t)
-	const objective, way = 120 * ms, 12 * ms
+	const objective, transit = 120 * ms, 12 * ms
 	rng := rand.New(rand.NewPCG(3, 4))
 	var delay gather.DeliveryDelay
 	for _, load := range []struct{ least, spread time.Duration }{{1 * ms, 1 * ms}, {3 * ms, 10 * ms}, {1 * ms, 1 * ms}} {
 		late, early := 0, time.Duration(0)
 		const answers = 400
 		for i := range answers {
-			due := gather.AnswerDeadline(objective, way+delay.Estimate())
+			due := gather.AnswerDeadline(objective, transit+delay.Estimate())
 			took := load.least + time.Duration(rng.Int64N(int64(load.spread)))
 			delay.Observe(took)
 			if i < answers/2 {
 				continue
 			}
-			if due+took+way > objective {
+			if due+took+transit > objective {
 				late++
 			}
-			early += objective - way - took - due
+			early += objective - transit - took - due
 		}
-		c.Check(late*10 <= answers/2, qt.IsTrue, qt.Commentf("%d of %d answers are late at %v", late, answers/2, load))
+		c.Check(late*10 <= answers/2, qt.IsTrue, qt.Commentf("%d of %d answers are late at load %v", late, answers/2, load))
 		mean := early / (answers / 2)
-		c.Check(mean < load.spread, qt.IsTrue, qt.Commentf("answers are given %v too early at %v", mean, load))
+		c.Check(mean < load.spread, qt.IsTrue, qt.Commentf("answers are returned %v too early at load %v", mean, load))
 	}
 }
 
-// TestReserveIsBounded guards against a delay or a faulty message that leaves no time to
-// gather in.
+// A long delay or a faulty message must leave time for the gather.
 func TestReserveIsBounded(t *testing.T) {
 	c := qt.New(t)
 	var delay gather.DeliveryDelay
