--- a/policy/hedge/hedge_test.go
+++ b/policy/hedge/hedge_test.go
@@ -14,14 +14,14 @@
 func TestBudgetBoundsExtraSubrequests(t *testing.T) {
 	c := qt.New(t)
 	b := hedge.NewBudget(5, 10)
-	taken := 0
+	sent := 0
 	for range 10000 {
 		b.Sent(1)
 		if b.Take() {
-			taken++
+			sent++
 		}
 	}
-	c.Assert(taken >= 499 && taken <= 501, qt.IsTrue, qt.Commentf("taken %d", taken))
+	c.Assert(sent >= 499 && sent <= 501, qt.IsTrue, qt.Commentf("%d extra subrequests sent", sent))
 
 	b.Sent(1 << 20)
 	burst := 0
@@ -31,8 +31,7 @@
 	c.Assert(burst, qt.Equals, 10)
 }
 
-// Under overload the caller sees refusals at once and no hedges: late answers
-// come from load, and a hedge would double it. The budget saved up before the
+// Overload makes answers late, and hedges would increase the load. Tokens saved before the
 // overload must not be spent during it either.
 func TestBudgetShrinksUnderOverload(t *testing.T) {
 	c := qt.New(t)
@@ -42,14 +41,14 @@
 	b.Sent(100000)
 	c.Assert(b.Take(), qt.IsFalse)
 	b.SetPressure(0.9)
-	taken := 0
+	sent := 0
 	for range 10000 {
 		b.Sent(1)
 		if b.Take() {
-			taken++
+			sent++
 		}
 	}
-	c.Assert(taken <= 61, qt.IsTrue, qt.Commentf("taken %d", taken))
+	c.Assert(sent <= 61, qt.IsTrue, qt.Commentf("%d extra subrequests sent", sent))
 }
 
 func TestQuantileIsWithinItsBucket(t *testing.T) {
@@ -66,12 +65,12 @@
 	for _, q := range []float64{0.5, 0.9, 0.99, 0.999} {
 		want := exact[int(q*10000)]
 		got := e.At(q)
-		c.Check(got >= want, qt.IsTrue, qt.Commentf("q %v: %v < %v", q, got, want))
-		c.Check(float64(got) <= 1.07*float64(want), qt.IsTrue, qt.Commentf("q %v: %v > %v", q, got, want))
+		c.Check(got >= want, qt.IsTrue, qt.Commentf("quantile %v: estimate %v is below the exact value %v", q, got, want))
+		c.Check(float64(got) <= 1.07*float64(want), qt.IsTrue, qt.Commentf("quantile %v: estimate %v exceeds the exact value %v by more than 7%%", q, got, want))
 	}
 }
 
-func TestQuantileForgetsOldLatencies(t *testing.T) {
+func TestQuantileDiscountsOldLatencies(t *testing.T) {
 	c := qt.New(t)
 	var e hedge.Quantile
 	for range 20000 {
@@ -85,30 +84,30 @@
 	c.Assert(e.At(1) > 60*time.Second, qt.IsTrue)
 }
 
-func TestHedgeWaitsForSiblingsAndQuantile(t *testing.T) {
+func TestHedgeWaitsForOtherSubrequestsAndQuantile(t *testing.T) {
 	var recent hedge.Quantile
 	for range 1000 {
 		recent.Observe(10 * time.Millisecond)
 	}
-	past := recent.At(0.97)
+	threshold := recent.At(0.97)
 	for _, test := range []struct {
 		name     string
-		siblings hedge.Progress
+		progress hedge.Progress
 		want     time.Duration
 	}{
-		{"quick siblings", hedge.Progress{Answered: 14, Total: 15}, past},
-		{"siblings outstanding", hedge.Progress{Answered: 8, Total: 15}, hedge.Never},
-		{"no sibling answered", hedge.Progress{Answered: 0, Total: 2}, hedge.Never},
-		{"one shard", hedge.Progress{Answered: 0, Total: 1}, past},
-		{"a slow query", hedge.Progress{Answered: 14, Total: 15, Slowest: 40 * time.Millisecond}, 50 * time.Millisecond},
+		{"other subrequests answered quickly", hedge.Progress{Answered: 14, Total: 15}, threshold},
+		{"too many subrequests outstanding", hedge.Progress{Answered: 8, Total: 15}, hedge.Never},
+		{"no other subrequest answered", hedge.Progress{Answered: 0, Total: 2}, hedge.Never},
+		{"one shard", hedge.Progress{Answered: 0, Total: 1}, threshold},
+		{"slow query", hedge.Progress{Answered: 14, Total: 15, Slowest: 40 * time.Millisecond}, 50 * time.Millisecond},
 		{"overload", hedge.Progress{Answered: 14, Total: 15, Overloaded: true}, hedge.Never},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			c.Assert(hedge.After(test.siblings, &recent), qt.Equals, test.want)
+			c.Assert(hedge.After(test.progress, &recent), qt.Equals, test.want)
 		})
 	}
 	c := qt.New(t)
-	var unknown hedge.Quantile
-	c.Assert(hedge.After(hedge.Progress{Answered: 14, Total: 15}, &unknown), qt.Equals, hedge.Never)
+	var empty hedge.Quantile
+	c.Assert(hedge.After(hedge.Progress{Answered: 14, Total: 15}, &empty), qt.Equals, hedge.Never)
 }
--- a/policy/hedge/quantile.go
+++ b/policy/hedge/quantile.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// subBits gives 16 buckets an octave, an error of at most 1/16.
+	// subBits gives 16 buckets per octave, an error of at most 1/16.
 	subBits    = 4
 	subBuckets = 1 << subBits
 	// octaves covers 1 µs to about 67 s.
 	octaves = 26 - subBits + 2
-	// halveAt is the number of samples after which old ones lose half their
-	// weight. It holds enough samples for a 0.999 quantile.
-	halveAt = 16384
-	// cacheFor is the part of the samples, as a divisor, that may be added before
-	// a quantile is worked out again. It is asked for at each reply.
-	cacheFor = 64
+	// decayAt is the number of samples after which old ones lose half their weight. It
+	// holds enough samples for a 0.999 quantile.
+	decayAt = 16384
+	// cacheDivisor of the samples is the part that may be added before a quantile is
+	// computed again: every reply reads it.
+	cacheDivisor = 64
 )
 
-// Quantile estimates quantiles of recent latencies in constant memory. Older
-// samples lose half their weight every 16,384 samples.
+// Quantile estimates quantiles of recent latencies in constant memory. Older samples
+// lose half their weight every 16,384 samples.
 type Quantile struct {
 	counts [octaves * subBuckets]uint32
 	total  uint32
-	// cached is At of cachedQ when cachedFor samples had been seen.
-	cached    time.Duration
-	cachedQ   float64
-	cachedFor uint32
-	seen      uint32
+	// cached is the result of At for cachedQ, computed after cachedSeen samples.
+	cached     time.Duration
+	cachedQ    float64
+	cachedSeen uint32
+	seen       uint32
 }
 
 // Observe adds one latency.
@@ -36,28 +36,28 @@
 	e.counts[bucketOf(latency)]++
 	e.total++
 	e.seen++
-	if e.total >= halveAt {
+	if e.total >= decayAt {
 		e.halve()
 	}
 }
 
-// Count returns the weight of the samples held.
+// Count returns the total weight of the samples.
 func (e *Quantile) Count() int {
 	return int(e.total)
 }
 
-// At returns the latency that the fraction q of recent samples does not exceed,
-// rounded up to its bucket, or 0 when there are no samples.
+// At returns the latency that the fraction q of recent samples does not exceed, rounded
+// up to its bucket, or 0 without samples.
 func (e *Quantile) At(q float64) time.Duration {
 	if e.total == 0 {
 		return 0
 	}
-	if q == e.cachedQ && e.seen-e.cachedFor < e.total/cacheFor {
+	if q == e.cachedQ && e.seen-e.cachedSeen < e.total/cacheDivisor {
 		return e.cached
 	}
 	e.cached = e.at(q)
 	e.cachedQ = q
-	e.cachedFor = e.seen
+	e.cachedSeen = e.seen
 	return e.cached
 }
 
@@ -84,8 +84,8 @@
 	}
 }
 
-// bucketOf maps microseconds to buckets: the first subBuckets are linear, the
-// later ones split each octave into subBuckets equal parts.
+// bucketOf maps microseconds to buckets: the first subBuckets are linear, the later ones
+// split each octave into subBuckets equal parts.
 func bucketOf(latency time.Duration) int {
 	us := uint64(max(latency.Microseconds(), 0))
 	if us < subBuckets {
