--- a/policy/query/answer.go
+++ b/policy/query/answer.go
@@ -6,17 +6,16 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// Outcome labels an answer.
+// Outcome is the overall result of a request.
 type Outcome string
 
 // The outcomes of a request.
 const (
-	// Complete means that every shard of the pinned generation is in the
-	// answer.
+	// Complete means that the answer holds every shard of the pinned generation.
 	Complete Outcome = "complete"
-	// Partial means that some shards are absent; Answer.Absent names them.
+	// Partial means that some shards are missing; Answer.Absent lists them.
 	Partial Outcome = "partial"
-	// Refused means that the request was not run at any backend server.
+	// Refused means that no backend server ran the request.
 	Refused Outcome = "refused"
 	// Unknown means that a non-idempotent request may or may not have run.
 	Unknown Outcome = "unknown"
@@ -33,17 +32,18 @@
 	Shard   string
 	Replica string
 	Body    []byte
-	// Attempts sent for the shard, hedges, retries and warm-ups included.
+	// Attempts is the number of subrequests sent for the shard, including hedges, retries
+	// and warm-ups.
 	Attempts int
-	// Queued at the owner, and Took since the query started.
+	// Queued is the time in the owner's queue, and Took the time since the query started.
 	Queued time.Duration
 	Took   time.Duration
 }
 
-// Answer is what a query came to.
+// Answer is the result of a query.
 type Answer struct {
 	Outcome Outcome
-	// Coverage is shards answered over shards of the pinned generation, 0 to 1.
+	// Coverage is the answered share of the shards of the pinned generation, 0 to 1.
 	Coverage   float64
 	Snapshot   uint64
 	Generation uint64
@@ -53,23 +53,22 @@
 	Trace      []TraceEvent
 }
 
-// Stats counts what a query cost.
+// Stats counts the work of a query.
 type Stats struct {
-	// Attempts is the number of subrequests sent; Hedges, Retries and WarmUps are
-	// among them.
+	// Attempts is the number of subrequests sent, including Hedges, Retries and WarmUps.
 	Attempts int
 	Hedges   int
 	Retries  int
 	WarmUps  int
-	// Dropped counts replies that came late, crossed or from another snapshot.
+	// Dropped counts replies that were late, mismatched or from another snapshot.
 	Dropped  int
 	Restarts int
 }
 
-// TraceKind names a step of a traced query.
+// TraceKind is the kind of a trace event.
 type TraceKind string
 
-// The steps that a trace records.
+// The kinds of trace events.
 const (
 	TraceSend    TraceKind = "send"
 	TraceHedge   TraceKind = "hedge"
@@ -84,7 +83,7 @@
 	TraceEnd     TraceKind = "end"
 )
 
-// TraceEvent is one step of a query.
+// TraceEvent is one step of a traced query.
 type TraceEvent struct {
 	// At is the time since the query started.
 	At       time.Duration
@@ -96,7 +95,7 @@
 	Reason   pb.Reason
 }
 
-// Answer returns the result. Call it once Done reports true.
+// Answer returns the result. It is valid once Done reports true.
 func (q *Query) Answer() *Answer {
 	answer := &Answer{
 		Snapshot:   q.snapshot,
--- a/policy/query/hedge.go
+++ b/policy/query/hedge.go
@@ -8,20 +8,19 @@
 )
 
 const (
-	// maxHedges bounds the hedges of one shard. The second one is for queries
-	// over so many shards that some hedge meets a straggler as well.
+	// maxHedges is the number of hedges per shard. In a query over many shards, a first
+	// hedge may meet a straggler too.
 	maxHedges = 2
-	// hedgeRetry is the pause after a hedge for which there was no budget or no
-	// replica that bears it.
-	hedgeRetry = 5 * time.Millisecond
-	// noHedge is the age of attempts that are never hedged.
-	noHedge = time.Duration(math.MaxInt64)
+	// hedgeRetryPause is the pause before the next try of a hedge that found no budget or
+	// no suitable replica.
+	hedgeRetryPause = 5 * time.Millisecond
+	// neverHedge is the hedge age of attempts that are never hedged.
+	neverHedge = time.Duration(math.MaxInt64)
 )
 
-// planHedge works out when the outstanding shards may be asked again. While the
-// age that it depends on stays, hedgeAt can only be too early, which the wake-up
-// at that time corrects.
-func (q *Query) planHedge() {
+// updateHedgeAge reschedules the next hedge when the hedge age has changed. Otherwise
+// hedgeAt can only be too early, and the wake-up at that time corrects it.
+func (q *Query) updateHedgeAge() {
 	after := q.env.HedgeAfter(q.answered, len(q.shards), q.slowest)
 	if after == q.hedgeAfter && !q.hedgeAt.IsZero() {
 		return
@@ -30,9 +29,9 @@
 	q.scheduleHedge()
 }
 
-// hedgeNoLaterThan moves hedgeAt forward for a new attempt.
-func (q *Query) hedgeNoLaterThan(due time.Time) {
-	if q.hedgeAfter == noHedge || !due.Before(q.params.Deadline) {
+// advanceHedge moves hedgeAt forward if a new attempt may be hedged earlier.
+func (q *Query) advanceHedge(due time.Time) {
+	if q.hedgeAfter == neverHedge || !due.Before(q.params.Deadline) {
 		return
 	}
 	if q.hedgeAt.IsZero() || due.Before(q.hedgeAt) {
@@ -40,15 +39,14 @@
 	}
 }
 
-// scheduleHedge sets hedgeAt to the first due time of all outstanding shards, or
-// zero when none falls before the deadline. Few shards are outstanding once a
-// hedge can be due; only those are looked at.
+// scheduleHedge sets hedgeAt to the earliest hedge time of all waiting shards, or to zero
+// when none is before the deadline. Few shards are waiting once hedges are possible.
 func (q *Query) scheduleHedge() {
 	q.hedgeAt = time.Time{}
 	if q.hedgeAfter >= q.params.Deadline.Sub(q.start) {
 		return
 	}
-	for _, i := range q.lateShards() {
+	for _, i := range q.waitingShards() {
 		s := &q.shards[i]
 		if !s.hedgeable() {
 			continue
@@ -59,20 +57,20 @@
 	}
 }
 
-// lateShards returns the shards that still wait.
-func (q *Query) lateShards() []int {
-	if q.late == nil {
+// waitingShards returns the shards without a result.
+func (q *Query) waitingShards() []int {
+	if q.waiting == nil {
 		for i := range q.shards {
-			q.late = append(q.late, i)
+			q.waiting = append(q.waiting, i)
 		}
 	}
-	waiting := q.late[:0]
-	for _, i := range q.late {
+	waiting := q.waiting[:0]
+	for _, i := range q.waiting {
 		if q.shards[i].phase == shardWaiting {
 			waiting = append(waiting, i)
 		}
 	}
-	q.late = waiting
+	q.waiting = waiting
 	return waiting
 }
 
@@ -80,8 +78,8 @@
 	return s.phase == shardWaiting && s.outstanding > 0 && s.hedges < maxHedges
 }
 
-// hedgeDue counts from the latest attempt, so that a retry or a first hedge gets
-// as much patience as an ordinary attempt.
+// hedgeDue counts from the latest attempt, so that a retry or a first hedge has as much
+// time to answer as an ordinary attempt.
 func (q *Query) hedgeDue(s *shardState) time.Time {
 	due := s.sentAt.Add(q.hedgeAfter)
 	if due.Before(s.noHedgeBefore) {
@@ -90,17 +88,16 @@
 	return due
 }
 
-// hedge asks another replica for each shard that is late, as far as the budget
-// goes.
-func (q *Query) hedge(now time.Time, step *Step) {
-	for _, i := range q.lateShards() {
+// sendHedges sends a hedge for each shard whose hedge time has passed, within the budget.
+func (q *Query) sendHedges(now time.Time, step *Step) {
+	for _, i := range q.waitingShards() {
 		s := &q.shards[i]
 		if !s.hedgeable() || now.Before(q.hedgeDue(s)) {
 			continue
 		}
 		replica := q.pickHedge(i)
 		if replica == nil || !q.env.TakeHedge() {
-			s.noHedgeBefore = now.Add(hedgeRetry)
+			s.noHedgeBefore = now.Add(hedgeRetryPause)
 			continue
 		}
 		s.hedges++
@@ -110,9 +107,8 @@
 	q.scheduleHedge()
 }
 
-// pickHedge prefers a replica that was not tried. When a first hedge is late as
-// well and no other replica is left, one that was tried may get the shard again:
-// a random delay is not the replica's.
+// pickHedge prefers a replica that has not received the shard. When no other replica is
+// left for a second hedge, a tried one is allowed, because the delay may have been random.
 func (q *Query) pickHedge(i int) *config.Replica {
 	s := &q.shards[i]
 	shard := q.generation.Shards[i]
--- a/policy/query/model_test.go
+++ b/policy/query/model_test.go
@@ -14,43 +14,43 @@
 
 func TestMain(m *testing.M) { modeltest.Main(m, modeltest.Size{}) }
 
-// modelServer is one replica's index: it serves any snapshot in its range.
+// modelServer is the index of one replica, which serves any snapshot in its range.
 type modelServer struct {
 	oldest, newest uint64
 }
 
-// model drives one query with replies that come late, crossed, twice, from other
-// snapshots and partitionings, against a simple oracle: the rows of a shard in a
-// snapshot are body(shard, snapshot).
+// model drives one query with replies that are late, mismatched, duplicated, or from other
+// snapshots and generations. The oracle is simple: the rows of a shard in a snapshot are
+// body(shard, snapshot).
 type model struct {
-	t       *rapid.T
-	svc     *config.Service
-	env     *testEnv
-	query   *query.Query
-	now     time.Time
-	servers map[string]*modelServer
-	sent    []query.Send
-	asked   map[uint64]bool
-	ran     bool
+	t            *rapid.T
+	svc          *config.Service
+	env          *testEnv
+	query        *query.Query
+	now          time.Time
+	servers      map[string]*modelServer
+	sent         []query.Send
+	seenAttempts map[uint64]bool
+	ran          bool
 	// failing runs have no replica that answers.
 	failing bool
 	replies []*pb.SubrequestResult
-	// tamper stands for a fault in the query's own checks: it changes a reply
-	// so that the check that should drop it lets it pass.
-	tamper func(s query.Send, r *pb.SubrequestResult)
-	// spoil stands for a fault in how the answer is put together.
-	spoil func(*query.Answer)
+	// corruptReply simulates a missing check in the query: it changes a reply so that the
+	// check accepts it.
+	corruptReply func(s query.Send, r *pb.SubrequestResult)
+	// corruptAnswer simulates a fault in the assembly of the answer.
+	corruptAnswer func(*query.Answer)
 }
 
-func newModel(t *rapid.T, svc *config.Service, tamper func(query.Send, *pb.SubrequestResult)) *model {
+func newModel(t *rapid.T, svc *config.Service, corruptReply func(query.Send, *pb.SubrequestResult)) *model {
 	m := &model{
-		t:       t,
-		svc:     svc,
-		now:     epoch,
-		servers: make(map[string]*modelServer),
-		asked:   make(map[uint64]bool),
-		tamper:  tamper,
-		failing: rapid.IntRange(0, 3).Draw(t, "failing") == 0,
+		t:            t,
+		svc:          svc,
+		now:          epoch,
+		servers:      make(map[string]*modelServer),
+		seenAttempts: make(map[uint64]bool),
+		corruptReply: corruptReply,
+		failing:      rapid.IntRange(0, 3).Draw(t, "failing") == 0,
 		env: &testEnv{
 			hedges:     rapid.IntRange(0, 3).Draw(t, "hedges"),
 			retries:    rapid.IntRange(0, 8).Draw(t, "retries"),
@@ -65,25 +65,25 @@
 		}
 	}
 	m.env.snapshot = rapid.SampledFrom([]uint64{0, 98, 99, 100, 101}).Draw(t, "known snapshot")
-	m.query = query.New(m.env, query.Params{Service: svc, Deadline: epoch.Add(allowed), Trace: true})
-	m.carry(m.query.Start(m.now))
+	m.query = query.New(m.env, query.Params{Service: svc, Deadline: epoch.Add(queryTimeout), Trace: true})
+	m.apply(m.query.Start(m.now))
 	return m
 }
 
-func (m *model) carry(step query.Step) {
+func (m *model) apply(step query.Step) {
 	for _, s := range step.Send {
-		if m.asked[s.Attempt] {
+		if m.seenAttempts[s.Attempt] {
 			m.t.Fatalf("attempt %d sent twice", s.Attempt)
 		}
-		m.asked[s.Attempt] = true
+		m.seenAttempts[s.Attempt] = true
 		m.sent = append(m.sent, s)
 	}
 }
 
-// serve lets a replica work on a subrequest; the reply waits to be delivered.
+// serve runs one subrequest at its replica and queues the reply.
 func (m *model) serve(t *rapid.T) {
 	if len(m.sent) == 0 {
-		t.Skip("nothing sent")
+		t.Skip("no subrequest is queued")
 	}
 	i := rapid.IntRange(0, len(m.sent)-1).Draw(t, "send")
 	s := m.sent[i]
@@ -99,22 +99,22 @@
 	}
 	gen := m.svc.GenerationOf(snapshot)
 	var r *pb.SubrequestResult
-	fates := 9
+	lastKind := 9
 	if m.failing {
-		fates = 1
+		lastKind = 1
 	}
-	switch rapid.IntRange(0, fates).Draw(t, "fate") {
+	switch rapid.IntRange(0, lastKind).Draw(t, "reply kind") {
 	case 0:
 		r = failed(s, pb.Reason_REASON_LIMIT, pb.Evidence_EVIDENCE_NOT_RUN)
 	case 1:
 		m.ran = true
 		r = failed(s, pb.Reason_REASON_CONNECTION, pb.Evidence_EVIDENCE_UNKNOWN)
 	case 2:
-		// A faulty replica serves its newest snapshot whatever it was asked for.
+		// A faulty replica serves its newest snapshot instead of the requested one.
 		m.ran = true
 		r = served(s, server.newest, m.svc.GenerationOf(server.newest).ID)
 	case 3:
-		// A reply is swapped with that of another shard.
+		// The reply is swapped with that of another shard.
 		m.ran = true
 		other := gen.Shards[(s.Shard.Position+1)%len(gen.Shards)]
 		r = served(s, snapshot, gen.ID)
@@ -128,27 +128,26 @@
 		m.ran = true
 		r = served(s, snapshot, gen.ID)
 	}
-	if m.tamper != nil {
-		m.tamper(s, r)
+	if m.corruptReply != nil {
+		m.corruptReply(s, r)
 	}
 	return r
 }
 
-// deliver hands over a reply; it may stay behind and come again.
+// deliver passes one queued reply to the query, and may leave it queued as a duplicate.
 func (m *model) deliver(t *rapid.T) {
 	if len(m.replies) == 0 {
-		t.Skip("no reply")
+		t.Skip("no reply is queued")
 	}
 	i := rapid.IntRange(0, len(m.replies)-1).Draw(t, "reply")
 	r := m.replies[i]
-	if rapid.IntRange(0, 3).Draw(t, "twice") > 0 {
+	if rapid.IntRange(0, 3).Draw(t, "duplicate") > 0 {
 		m.replies = append(m.replies[:i], m.replies[i+1:]...)
 	}
-	m.carry(m.query.Reply(m.now, r))
+	m.apply(m.query.Reply(m.now, r))
 }
 
-// flip moves a replica to its next snapshot, which may be of the next
-// generation.
+// flip moves a replica to its next snapshot, which may belong to the next generation.
 func (m *model) flip(t *rapid.T) {
 	names := []string{"r0a", "r0b", "r1a", "r1b", "r2a", "r2b", "r3a", "r3b"}
 	server := m.servers[rapid.SampledFrom(names).Draw(t, "server")]
@@ -159,10 +158,10 @@
 
 func (m *model) wait(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 30).Draw(t, "ms")) * time.Millisecond)
-	m.carry(m.query.Tick(m.now))
+	m.apply(m.query.Tick(m.now))
 }
 
-// drain serves and delivers everything, and lets time pass when nothing is left.
+// drain serves and delivers everything, and advances the time when nothing is queued.
 func (m *model) drain(t *rapid.T) {
 	for !m.query.Done() {
 		switch {
@@ -172,51 +171,51 @@
 			m.deliver(t)
 		default:
 			m.now = m.query.NextTick()
-			m.carry(m.query.Tick(m.now))
+			m.apply(m.query.Tick(m.now))
 		}
 	}
 }
 
-// finish ends the query one way or the other.
+// finish ends the query by replies, by cancellation or at its deadline.
 func (m *model) finish(t *rapid.T) {
-	if rapid.Bool().Draw(t, "all replies come") {
+	if rapid.Bool().Draw(t, "all replies arrive") {
 		m.drain(t)
 	}
 	if m.query.Done() {
 		return
 	}
-	if rapid.Bool().Draw(t, "caller leaves") {
+	if rapid.Bool().Draw(t, "caller disconnects") {
 		m.query.Cancel(m.now)
 		return
 	}
-	m.query.Tick(epoch.Add(allowed))
+	m.query.Tick(epoch.Add(queryTimeout))
 }
 
-// check holds the answer against the oracle.
+// check compares the answer with the oracle.
 func (m *model) check() {
 	if !m.query.Done() {
-		m.t.Fatalf("query did not end at its deadline")
+		m.t.Fatalf("query is not done after its deadline")
 	}
 	answer := m.query.Answer()
-	if m.spoil != nil {
-		m.spoil(answer)
+	if m.corruptAnswer != nil {
+		m.corruptAnswer(answer)
 	}
-	m.checkOneSnapshot(answer)
-	m.checkTrueCoverage(answer)
+	m.checkRows(answer)
+	m.checkCoverage(answer)
 	if answer.Outcome == query.Refused && m.ran {
-		m.t.Fatalf("true not-run: refused although a replica ran a subrequest")
+		m.t.Fatalf("wrong outcome: refused although a replica ran a subrequest")
 	}
 }
 
-func (m *model) checkOneSnapshot(answer *query.Answer) {
+func (m *model) checkRows(answer *query.Answer) {
 	for _, r := range answer.Results {
 		if string(r.Body) != string(body(r.Shard, answer.Snapshot)) {
-			m.t.Fatalf("one snapshot, own answer: shard %s of snapshot %d holds %s", r.Shard, answer.Snapshot, r.Body)
+			m.t.Fatalf("wrong rows: shard %s of snapshot %d holds %s", r.Shard, answer.Snapshot, r.Body)
 		}
 	}
 }
 
-func (m *model) checkTrueCoverage(answer *query.Answer) {
+func (m *model) checkCoverage(answer *query.Answer) {
 	gen := m.svc.Latest()
 	if answer.Snapshot != 0 {
 		gen = m.svc.GenerationOf(answer.Snapshot)
@@ -227,25 +226,25 @@
 	}
 	for _, a := range answer.Absent {
 		if seen[a.Shard] || a.Reason == pb.Reason_REASON_UNSPECIFIED {
-			m.t.Fatalf("true coverage: shard %s is absent for %s", a.Shard, a.Reason)
+			m.t.Fatalf("wrong coverage: shard %s is listed as absent with reason %s", a.Shard, a.Reason)
 		}
 		seen[a.Shard] = true
 	}
 	for _, shard := range gen.Shards {
 		if !seen[shard.Name] {
-			m.t.Fatalf("true coverage: shard %s is neither answered nor absent", shard.Name)
+			m.t.Fatalf("wrong coverage: shard %s is neither answered nor listed as absent", shard.Name)
 		}
 	}
 	want := float64(len(answer.Results)) / float64(len(gen.Shards))
 	complete := len(answer.Results) == len(gen.Shards)
 	if answer.Coverage != want || (answer.Outcome == query.Complete) != complete {
-		m.t.Fatalf("true coverage: %s with %v, want %v", answer.Outcome, answer.Coverage, want)
+		m.t.Fatalf("wrong coverage: outcome %s with coverage %v, want coverage %v", answer.Outcome, answer.Coverage, want)
 	}
 }
 
-func runModel(t *rapid.T, svc *config.Service, tamper func(query.Send, *pb.SubrequestResult), spoil func(*query.Answer)) {
-	m := newModel(t, svc, tamper)
-	m.spoil = spoil
+func runModel(t *rapid.T, svc *config.Service, corruptReply func(query.Send, *pb.SubrequestResult), corruptAnswer func(*query.Answer)) {
+	m := newModel(t, svc, corruptReply)
+	m.corruptAnswer = corruptAnswer
 	t.Repeat(map[string]func(*rapid.T){
 		"serve":   m.serve,
 		"deliver": m.deliver,
@@ -256,43 +255,42 @@
 	m.check()
 }
 
-// The caller gets rows of one snapshot, of its own shards, with the coverage that
-// the answer states, whatever order and kind of replies come back.
+// Whatever the order and kind of replies, the rows must come from one snapshot and the right
+// shards, and the stated coverage must match them.
 func TestModelAnswersAreTrue(t *testing.T) {
 	svc := testService(t)
 	rapid.Check(t, func(t *rapid.T) { runModel(t, svc, nil, nil) })
 }
 
-// Each variant stands for one check left out of the query; the model has to
-// notice it under the fixed seed.
+// Each variant disables one check of the query. The model must detect it with the fixed seed.
 func TestModelCatchesBrokenVariants(t *testing.T) {
 	svc := testService(t)
 	variants := []struct {
-		name   string
-		caught string
-		tamper func(query.Send, *pb.SubrequestResult)
-		spoil  func(*query.Answer)
+		name          string
+		caught        string
+		corruptReply  func(query.Send, *pb.SubrequestResult)
+		corruptAnswer func(*query.Answer)
 	}{
-		{"merges any snapshot", "one snapshot", func(s query.Send, r *pb.SubrequestResult) {
+		{"merges any snapshot", "wrong rows", func(s query.Send, r *pb.SubrequestResult) {
 			if s.Snapshot != 0 {
 				r.Snapshot = s.Snapshot
 				r.Generation = s.Generation
 			}
 		}, nil},
-		{"merges crossed replies", "one snapshot", func(s query.Send, r *pb.SubrequestResult) {
+		{"merges mismatched replies", "wrong rows", func(s query.Send, r *pb.SubrequestResult) {
 			r.Shard = s.Shard.Name
 		}, nil},
-		{"takes doubt for not run", "true not-run", func(_ query.Send, r *pb.SubrequestResult) {
+		{"reports uncertain attempts as not run", "wrong outcome", func(_ query.Send, r *pb.SubrequestResult) {
 			r.Evidence = pb.Evidence_EVIDENCE_NOT_RUN
 		}, nil},
-		{"counts shards that are absent", "true coverage", nil, func(a *query.Answer) {
+		{"counts absent shards as answered", "wrong coverage", nil, func(a *query.Answer) {
 			a.Coverage, a.Outcome = 1, query.Complete
 		}},
-		{"forgets shards that are absent", "true coverage", nil, func(a *query.Answer) { a.Absent = nil }},
+		{"omits absent shards", "wrong coverage", nil, func(a *query.Answer) { a.Absent = nil }},
 	}
 	for _, v := range variants {
 		t.Run(v.name, func(t *testing.T) {
-			modeltest.Caught(t, v.caught, func(t *rapid.T) { runModel(t, svc, v.tamper, v.spoil) })
+			modeltest.Caught(t, v.caught, func(t *rapid.T) { runModel(t, svc, v.corruptReply, v.corruptAnswer) })
 		})
 	}
 }
--- a/policy/query/query.go
+++ b/policy/query/query.go
@@ -7,65 +7,64 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
-// Env is what a query asks of the tables it shares with the other queries of
-// its node. The entry node and the benchmark implement it.
+// Env is the access of a query to the tables that it shares with the other queries of its
+// node.
 type Env interface {
-	// Pick returns the replica to ask for a shard, or nil when no usable one
-	// is left. Replicas that tried reports are left out.
+	// Pick returns a replica for a shard, or nil when no usable one is left. It skips
+	// replicas for which tried returns true.
 	Pick(shard *config.Shard, snapshot uint64, tried func(*config.Replica) bool) *config.Replica
-	// PickHedge is Pick for a hedge: a replica that is cold, slow, full or
-	// refusing is left out.
+	// PickHedge is Pick for a hedge. It also skips replicas that are cold, slow, full or
+	// refusing.
 	PickHedge(shard *config.Shard, snapshot uint64, tried func(*config.Replica) bool) *config.Replica
-	// PickWarmUp returns a cold replica that is due a copy of a shard's
-	// subrequest, nil when there is none or the budget holds nothing to spare.
+	// PickWarmUp returns a cold replica that should receive a copy of a shard's
+	// subrequest, or nil when there is none or no spare budget.
 	PickWarmUp(shard *config.Shard, snapshot uint64, tried func(*config.Replica) bool) *config.Replica
-	// Snapshot returns the newest snapshot that every shard can serve, 0 when
-	// nothing is known.
+	// Snapshot returns the newest snapshot that every shard can serve, or 0 when none is
+	// known.
 	Snapshot() uint64
 	// NextAttempt returns an attempt id that this node has not used before.
 	NextAttempt() uint64
-	// TakeHedge and TakeRetry spend one extra subrequest from the service's
-	// budget and report whether there was one.
+	// TakeHedge and TakeRetry consume one extra subrequest from the budget of the
+	// service, and report whether one was available.
 	TakeHedge() bool
 	TakeRetry() bool
-	// HedgeAfter returns the age of an attempt from which its shard may be asked
-	// again. It is asked anew whenever a shard answers. slowest is the longest
-	// that an answer to a shard without a hedge took.
+	// HedgeAfter returns the age from which an attempt may be hedged. It is called at the
+	// start and after each answer. slowest is the longest latency of an answer to a shard
+	// without a hedge.
 	HedgeAfter(answered, total int, slowest time.Duration) time.Duration
 }
 
-// Params states what a query is.
+// Params are the parameters of a query.
 type Params struct {
 	Service *config.Service
-	// Deadline is when the answer has to be assembled.
+	// Deadline is when the answer must be assembled.
 	Deadline time.Time
-	// EarlyAfter is the time since the start after which an answer with at
-	// least EarlyCoverage is given without the last shards; 0 waits for the
-	// deadline.
+	// EarlyAfter is the time since the start from which an answer with at least
+	// EarlyCoverage is returned without the remaining shards. 0 waits for the deadline.
 	EarlyAfter    time.Duration
 	EarlyCoverage float64
-	// Trace asks for the steps to be recorded.
+	// Trace enables the recording of steps.
 	Trace bool
 }
 
-// Send asks one replica for one shard.
+// Send is a subrequest for one shard to one replica.
 type Send struct {
 	Attempt    uint64
 	Shard      *config.Shard
 	Replica    *config.Replica
 	Snapshot   uint64
 	Generation uint64
-	// Extra marks a hedge or a warm-up, which an owner never lets wait.
+	// Extra marks a hedge or a warm-up, which an owner never queues.
 	Extra bool
 }
 
-// Step is what the node has to do after an event: cancel first, then send.
+// Step lists the messages to send after an event: first Cancel, then Send.
 type Step struct {
 	Send   []Send
 	Cancel []Cancelled
 }
 
-// Cancelled is an outstanding attempt whose reply is no longer wanted.
+// Cancelled is an outstanding attempt whose reply is no longer needed.
 type Cancelled struct {
 	Attempt uint64
 	Replica *config.Replica
@@ -79,26 +78,26 @@
 	shardAbsent
 )
 
-// shardState is one shard's part of the query.
+// shardState is the state of one shard in the query.
 type shardState struct {
 	phase    shardPhase
 	result   ShardResult
 	attempts int
 	reason   pb.Reason
-	// mayHaveRun is set unless every attempt so far is known not to have run.
+	// mayHaveRun is set unless every attempt so far is certain not to have run.
 	mayHaveRun bool
-	// outstanding counts attempts without a reply, warm-ups apart.
+	// outstanding counts attempts without a reply, except warm-ups.
 	outstanding int
 	// warmUps counts warm-ups without a reply.
 	warmUps int
-	// hedges counts extra attempts; sentAt is when the latest attempt was sent,
-	// and noHedgeBefore bounds the search for a replica that bears another.
+	// hedges counts the hedges sent, and sentAt is when the latest attempt was sent. No
+	// hedge is tried before noHedgeBefore.
 	hedges        int
 	sentAt        time.Time
 	noHedgeBefore time.Time
 	tried         []*config.Replica
-	// rounds counts how often the tried list was cleared, and resumeAt is when
-	// the next round begins.
+	// rounds counts how often tried was cleared, and resumeAt is when the next round
+	// begins.
 	rounds   int
 	resumeAt time.Time
 }
@@ -112,11 +111,11 @@
 	return false
 }
 
-// attempt is one subrequest without a reply.
+// attempt is a subrequest without a reply.
 type attempt struct {
 	shard   int
 	replica *config.Replica
-	// snapshot that was asked for; 0 left the choice to the replica.
+	// snapshot is the requested one; with 0, the replica chooses.
 	snapshot uint64
 	// warmUp marks a copy that the shard does not wait for.
 	warmUp bool
@@ -131,47 +130,47 @@
 	snapshot   uint64
 	generation *config.Generation
 	shards     []shardState
-	// open counts shards that still wait.
-	open     int
+	// pending counts shards without a result.
+	pending  int
 	answered int
 	attempts map[uint64]attempt
-	// paused counts shards that wait for their next round, the first of which
-	// begins at resumeAt.
+	// paused counts shards that wait for their next round, and resumeAt is when the
+	// first of these rounds begins.
 	paused   int
 	resumeAt time.Time
 
-	// hedgeAfter is the age of an attempt from which its shard may be hedged,
-	// hedgeAt the first such time, zero when there is none, and late the shards
-	// that may still wait, nil before they are first needed.
+	// hedgeAfter is the age from which an attempt may be hedged, and hedgeAt the earliest
+	// such time, zero when there is none. waiting holds the shards without a result, and
+	// possibly some that have one; it is nil before its first use.
 	hedgeAfter time.Duration
 	hedgeAt    time.Time
 	slowest    time.Duration
-	late       []int
+	waiting    []int
 	endReason  pb.Reason
 	done       bool
 	stats      Stats
 	trace      []TraceEvent
 
-	// tried asks hasTried of the shard that a replica is being chosen for.
-	tried  func(*config.Replica) bool
-	asking *shardState
+	// tried calls hasTried of picking, the shard for which a replica is being chosen.
+	tried   func(*config.Replica) bool
+	picking *shardState
 }
 
 // New returns a query that has not started.
 func New(env Env, params Params) *Query {
 	q := &Query{env: env, params: params}
-	q.tried = func(r *config.Replica) bool { return q.asking.hasTried(r) }
+	q.tried = func(r *config.Replica) bool { return q.picking.hasTried(r) }
 	return q
 }
 
-// triedFor is what Pick is told of a shard. One function serves all shards, since a
-// query over many would else allocate one for each choice.
+// triedFor returns the filter that Pick applies for a shard. All shards share one function,
+// because a closure per choice would be allocated otherwise.
 func (q *Query) triedFor(s *shardState) func(*config.Replica) bool {
-	q.asking = s
+	q.picking = s
 	return q.tried
 }
 
-// Done reports whether the answer stands.
+// Done reports whether the answer is final.
 func (q *Query) Done() bool { return q.done }
 
 // Start pins the snapshot and sends the first attempts.
@@ -179,12 +178,12 @@
 	q.start = now
 	var step Step
 	q.begin(now, q.env.Snapshot(), &step)
-	q.settle(now, &step)
+	q.finishIfComplete(now, &step)
 	return step
 }
 
-// begin asks every shard of the generation that a snapshot belongs to. Snapshot
-// 0 asks the newest generation for whatever its replicas hold.
+// begin sends an attempt for every shard of the generation of a snapshot. With snapshot 0,
+// the attempts go to the newest generation, and the replicas choose the snapshot.
 func (q *Query) begin(now time.Time, snapshot uint64, step *Step) {
 	q.snapshot = snapshot
 	q.generation = q.params.Service.Latest()
@@ -192,30 +191,30 @@
 		q.generation = gen
 	}
 	q.shards = make([]shardState, len(q.generation.Shards))
-	q.open = len(q.shards)
+	q.pending = len(q.shards)
 	q.answered = 0
 	q.paused = 0
-	q.late = nil
+	q.waiting = nil
 	q.slowest = 0
 	q.attempts = make(map[uint64]attempt, len(q.shards))
 	q.hedgeAt = time.Time{}
-	q.hedgeAfter = noHedge
+	q.hedgeAfter = neverHedge
 	step.Send = make([]Send, 0, len(q.shards))
-	// One array for the first replica of all shards, in place of one each.
+	// One array holds the first tried replica of all shards, to save an allocation each.
 	tried := make([]*config.Replica, len(q.shards))
 	for i := range q.shards {
 		q.shards[i].tried = tried[i : i : i+1]
-		if !q.ask(now, i, TraceSend, step) {
-			q.giveUp(now, i, pb.Reason_REASON_NO_REPLICA)
+		if !q.sendAttempt(now, i, TraceSend, step) {
+			q.markAbsent(now, i, pb.Reason_REASON_NO_REPLICA)
 			continue
 		}
 		q.warmUp(now, i, step)
 	}
-	q.planHedge()
+	q.updateHedgeAge()
 }
 
-// ask sends one attempt for a shard; false when no replica is left.
-func (q *Query) ask(now time.Time, i int, kind TraceKind, step *Step) bool {
+// sendAttempt sends one attempt for a shard. It returns false when no replica is left.
+func (q *Query) sendAttempt(now time.Time, i int, kind TraceKind, step *Step) bool {
 	s := &q.shards[i]
 	shard := q.generation.Shards[i]
 	replica := q.env.Pick(shard, q.snapshot, q.triedFor(s))
@@ -231,11 +230,11 @@
 	s.tried = append(s.tried, replica)
 	s.outstanding++
 	s.sentAt = now
-	q.hedgeNoLaterThan(now.Add(q.hedgeAfter))
+	q.advanceHedge(now.Add(q.hedgeAfter))
 	q.dispatch(now, i, replica, kind, step)
 }
 
-// dispatch gives a subrequest its attempt id and adds it to the step.
+// dispatch assigns an attempt id to a subrequest and adds it to the step.
 func (q *Query) dispatch(now time.Time, i int, replica *config.Replica, kind TraceKind, step *Step) {
 	id := q.env.NextAttempt()
 	q.shards[i].attempts++
@@ -252,7 +251,7 @@
 	q.record(now, TraceEvent{Kind: kind, Attempt: id, Shard: q.generation.Shards[i].Name, Replica: replica.Name})
 }
 
-// cancelShard withdraws the outstanding attempts of one shard.
+// cancelShard cancels the outstanding attempts of one shard.
 func (q *Query) cancelShard(i int, step *Step) {
 	s := &q.shards[i]
 	if s.outstanding == 0 && s.warmUps == 0 {
@@ -269,7 +268,7 @@
 	s.warmUps = 0
 }
 
-// Cancel ends a query whose caller has gone.
+// Cancel ends a query whose caller has disconnected.
 func (q *Query) Cancel(now time.Time) Step {
 	var step Step
 	if !q.done {
@@ -278,17 +277,17 @@
 	return step
 }
 
-// settle ends the query when nothing is left to wait for.
-func (q *Query) settle(now time.Time, step *Step) {
-	if !q.done && q.open == 0 {
+// finishIfComplete ends the query when no shard is pending.
+func (q *Query) finishIfComplete(now time.Time, step *Step) {
+	if !q.done && q.pending == 0 {
 		q.finish(now, pb.Reason_REASON_UNSPECIFIED, step)
 	}
 }
 
-func (q *Query) finish(now time.Time, why pb.Reason, step *Step) {
+func (q *Query) finish(now time.Time, reason pb.Reason, step *Step) {
 	q.done = true
-	q.endReason = why
-	q.record(now, TraceEvent{Kind: TraceEnd, Reason: why})
+	q.endReason = reason
+	q.record(now, TraceEvent{Kind: TraceEnd, Reason: reason})
 	for id, a := range q.attempts {
 		step.Cancel = append(step.Cancel, Cancelled{Attempt: id, Replica: a.replica})
 		q.shards[a.shard].mayHaveRun = true
--- a/policy/query/query_test.go
+++ b/policy/query/query_test.go
@@ -14,7 +14,7 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-const allowed = 240 * time.Millisecond
+const queryTimeout = 240 * time.Millisecond
 
 // testEnv picks the first replica that was not tried.
 type testEnv struct {
@@ -23,7 +23,7 @@
 	hedges     int
 	retries    int
 	hedgeAfter time.Duration
-	// warmUps is how many copies may be sent.
+	// warmUps is the number of copies that may be sent.
 	warmUps int
 }
 
@@ -67,8 +67,8 @@
 
 func (e *testEnv) HedgeAfter(int, int, time.Duration) time.Duration { return e.hedgeAfter }
 
-// testService has two generations: 1 of three shards from snapshot 1, and 2 of
-// four shards from snapshot 100, over the same replicas.
+// testService has two generations over the same replicas: 1 with three shards from snapshot
+// 1, and 2 with four shards from snapshot 100.
 func testService(t testing.TB) *config.Service {
 	svc := &pb.Service{Name: "timing"}
 	for gen, shards := range map[uint64]int{1: 3, 2: 4} {
@@ -93,7 +93,7 @@
 	return x.Services["timing"]
 }
 
-// served is a correct reply to a send, from one snapshot.
+// served returns a correct reply to a send, from the given snapshot.
 func served(s query.Send, snapshot, generation uint64) *pb.SubrequestResult {
 	return &pb.SubrequestResult{
 		Attempt:    s.Attempt,
@@ -110,12 +110,12 @@
 	return fmt.Appendf(nil, "%s@%d", shard, snapshot)
 }
 
-func failed(s query.Send, why pb.Reason, evidence pb.Evidence) *pb.SubrequestResult {
+func failed(s query.Send, reason pb.Reason, evidence pb.Evidence) *pb.SubrequestResult {
 	return &pb.SubrequestResult{
 		Attempt:  s.Attempt,
 		Shard:    s.Shard.Name,
 		Replica:  s.Replica.Name,
-		Reason:   why,
+		Reason:   reason,
 		Evidence: evidence,
 	}
 }
@@ -123,7 +123,7 @@
 func newQuery(t testing.TB, env *testEnv) *query.Query {
 	return query.New(env, query.Params{
 		Service:  testService(t),
-		Deadline: epoch.Add(allowed),
+		Deadline: epoch.Add(queryTimeout),
 		Trace:    true,
 	})
 }
@@ -144,20 +144,18 @@
 	c.Assert(answer.Snapshot, qt.Equals, uint64(7))
 }
 
-// The caller sees one snapshot. The node knows none at first, so it lets the
-// replicas choose; one still serves snapshot 100 and another already 101. The
-// first reply pins 100, and the shard that answered from 101 is asked again,
-// because rows of two snapshots in one answer can contradict each other.
-func TestReplyFromAnotherSnapshotIsAskedAgain(t *testing.T) {
+// Rows of two snapshots in one answer can contradict each other. Without a known snapshot,
+// the first reply must pin one, and a shard that answered from another must be retried.
+func TestReplyFromAnotherSnapshotIsRetried(t *testing.T) {
 	c := qt.New(t)
 	q := newQuery(t, &testEnv{})
 	step := q.Start(epoch)
 	c.Assert(step.Send, qt.HasLen, 4)
 	q.Reply(epoch, served(step.Send[0], 100, 2))
-	again := q.Reply(epoch, served(step.Send[1], 101, 2))
-	c.Assert(again.Send, qt.HasLen, 1)
-	c.Assert(again.Send[0].Snapshot, qt.Equals, uint64(100))
-	q.Reply(epoch, served(again.Send[0], 100, 2))
+	retry := q.Reply(epoch, served(step.Send[1], 101, 2))
+	c.Assert(retry.Send, qt.HasLen, 1)
+	c.Assert(retry.Send[0].Snapshot, qt.Equals, uint64(100))
+	q.Reply(epoch, served(retry.Send[0], 100, 2))
 	q.Reply(epoch, served(step.Send[2], 100, 2))
 	q.Reply(epoch, served(step.Send[3], 100, 2))
 	answer := q.Answer()
@@ -168,11 +166,9 @@
 	}
 }
 
-// The caller gets the shards of one partitioning. The query starts while the
-// replicas still serve the old one: the first reply names a snapshot of
-// generation 1, so the query starts over with its three shards, and the replies
-// of the four new shards that come later are dropped.
-func TestRepartitioningRestartsTheQuery(t *testing.T) {
+// An answer must not mix generations. When the first reply is from an older generation, the
+// query must restart with the shards of that generation and drop replies of the other one.
+func TestReplyFromAnotherGenerationRestartsTheQuery(t *testing.T) {
 	c := qt.New(t)
 	q := newQuery(t, &testEnv{})
 	first := q.Start(epoch)
@@ -192,35 +188,33 @@
 	c.Assert(answer.Stats.Dropped, qt.Equals, 2)
 }
 
-// The caller never gets another request's rows. A reply comes back under the
-// right attempt id but names another shard, as when two replies are swapped on
-// their way; it is dropped and the shard is asked again.
-func TestCrossedReplyIsDropped(t *testing.T) {
+// A reply that names another shard than its attempt must be dropped and the shard retried:
+// merging it would return another request's rows.
+func TestMismatchedReplyIsDroppedAndRetried(t *testing.T) {
 	c := qt.New(t)
 	q := newQuery(t, &testEnv{snapshot: 7, retries: 1})
 	step := q.Start(epoch)
-	crossed := served(step.Send[0], 7, 1)
-	crossed.Shard = step.Send[1].Shard.Name
-	again := q.Reply(epoch, crossed)
-	c.Assert(again.Send, qt.HasLen, 1)
-	c.Assert(again.Send[0].Replica, qt.Not(qt.Equals), step.Send[0].Replica)
-	c.Assert(q.Reply(epoch, crossed).Send, qt.HasLen, 0)
-	q.Reply(epoch, served(again.Send[0], 7, 1))
+	mismatched := served(step.Send[0], 7, 1)
+	mismatched.Shard = step.Send[1].Shard.Name
+	retry := q.Reply(epoch, mismatched)
+	c.Assert(retry.Send, qt.HasLen, 1)
+	c.Assert(retry.Send[0].Replica, qt.Not(qt.Equals), step.Send[0].Replica)
+	c.Assert(q.Reply(epoch, mismatched).Send, qt.HasLen, 0)
+	q.Reply(epoch, served(retry.Send[0], 7, 1))
 	q.Reply(epoch, served(step.Send[1], 7, 1))
 	q.Reply(epoch, served(step.Send[2], 7, 1))
 	c.Assert(q.Answer().Outcome, qt.Equals, query.Complete)
 	c.Assert(q.Answer().Stats.Dropped, qt.Equals, 2)
 }
 
-// The caller gets an honest partial answer at its deadline: one shard's replica
-// stays silent, so coverage is 2 of 3 and the absent shard is named.
-func TestDeadlineGivesAPartialAnswer(t *testing.T) {
+// At the deadline, the answer must state its coverage and list the missing shard.
+func TestDeadlineReturnsAPartialAnswer(t *testing.T) {
 	c := qt.New(t)
 	q := newQuery(t, &testEnv{snapshot: 7})
 	step := q.Start(epoch)
 	q.Reply(epoch, served(step.Send[0], 7, 1))
 	q.Reply(epoch, served(step.Send[2], 7, 1))
-	end := q.Tick(epoch.Add(allowed))
+	end := q.Tick(epoch.Add(queryTimeout))
 	c.Assert(end.Cancel, qt.HasLen, 1)
 	answer := q.Answer()
 	c.Assert(answer.Outcome, qt.Equals, query.Partial)
@@ -228,9 +222,8 @@
 	c.Assert(answer.Absent, qt.DeepEquals, []query.Absent{{Shard: "g1-s1", Reason: pb.Reason_REASON_DEADLINE}})
 }
 
-// The caller does not wait for a straggler: once the hedge time has passed, a
-// second replica is asked within the budget; its answer is taken and the first
-// attempt is cancelled. Only as many hedges go out as the budget allows.
+// A straggler must be hedged within the budget, and its attempt cancelled when the hedge
+// answers first.
 func TestHedgeIsSentWithinItsBudget(t *testing.T) {
 	c := qt.New(t)
 	q := newQuery(t, &testEnv{snapshot: 7, hedges: 1, hedgeAfter: 20 * time.Millisecond})
@@ -240,35 +233,32 @@
 	hedges := q.Tick(epoch.Add(20 * time.Millisecond))
 	c.Assert(hedges.Send, qt.HasLen, 1)
 	c.Assert(hedges.Send[0].Extra, qt.IsTrue)
-	won := q.Reply(epoch.Add(25*time.Millisecond), served(hedges.Send[0], 7, 1))
-	c.Assert(won.Cancel, qt.HasLen, 1)
-	c.Assert(won.Cancel[0].Attempt, qt.Equals, step.Send[1].Attempt)
+	afterHedge := q.Reply(epoch.Add(25*time.Millisecond), served(hedges.Send[0], 7, 1))
+	c.Assert(afterHedge.Cancel, qt.HasLen, 1)
+	c.Assert(afterHedge.Cancel[0].Attempt, qt.Equals, step.Send[1].Attempt)
 	c.Assert(q.Answer().Stats.Hedges, qt.Equals, 1)
 }
 
-// The caller gets a complete answer although an owner is lost with its whole part
-// of the query: the call to it broke off, so every shard of that part is asked
-// again at another replica, however small the budget for retries is.
-func TestLostOwnersPartIsAskedElsewhere(t *testing.T) {
+// When an owner fails, its shards must be retried at other replicas even without retry
+// budget: the query would lack all of them otherwise.
+func TestShardsOfALostOwnerAreRetriedElsewhere(t *testing.T) {
 	c := qt.New(t)
 	q := newQuery(t, &testEnv{snapshot: 7})
-	var again []query.Send
+	var retry []query.Send
 	for _, s := range q.Start(epoch).Send {
 		lost := failed(s, pb.Reason_REASON_PEER, pb.Evidence_EVIDENCE_UNKNOWN)
-		again = append(again, q.Reply(epoch, lost).Send...)
+		retry = append(retry, q.Reply(epoch, lost).Send...)
 	}
-	c.Assert(again, qt.HasLen, 3)
-	for _, s := range again {
+	c.Assert(retry, qt.HasLen, 3)
+	for _, s := range retry {
 		q.Reply(epoch, served(s, 7, 1))
 	}
 	c.Assert(q.Answer().Outcome, qt.Equals, query.Complete)
 }
 
-// The caller reads "refused" only when nothing ran: every replica refused before
-// running, so the outcome is refused; with one doubtful attempt among them it is
-// a partial answer without coverage.
-func TestRefusedMeansNotRun(t *testing.T) {
-	for _, doubt := range []bool{false, true} {
+// The outcome must be refused only if every attempt is certain not to have run.
+func TestRefusedOutcomeMeansThatNothingRan(t *testing.T) {
+	for _, uncertain := range []bool{false, true} {
 		c := qt.New(t)
 		q := newQuery(t, &testEnv{snapshot: 7, retries: 100})
 		step := q.Start(epoch)
@@ -278,7 +268,7 @@
 			var next []query.Send
 			for i, s := range sends {
 				evidence := pb.Evidence_EVIDENCE_NOT_RUN
-				if doubt && i == 0 {
+				if uncertain && i == 0 {
 					evidence = pb.Evidence_EVIDENCE_UNKNOWN
 				}
 				next = append(next, q.Reply(now, failed(s, pb.Reason_REASON_CONNECTION, evidence)).Send...)
@@ -290,10 +280,10 @@
 			sends = next
 		}
 		want := query.Refused
-		if doubt {
+		if uncertain {
 			want = query.Partial
 		}
 		c.Assert(q.Answer().Outcome, qt.Equals, want)
-		c.Assert(now.Before(epoch.Add(allowed)), qt.IsTrue, qt.Commentf("given up before the deadline"))
+		c.Assert(now.Before(epoch.Add(queryTimeout)), qt.IsTrue, qt.Commentf("query must end before the deadline"))
 	}
 }
--- a/policy/query/reply.go
+++ b/policy/query/reply.go
@@ -6,7 +6,7 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// Reply takes in one result.
+// Reply processes one result.
 func (q *Query) Reply(now time.Time, r *pb.SubrequestResult) Step {
 	var step Step
 	if q.done {
@@ -31,38 +31,38 @@
 		q.drop(now, r)
 		return step
 	case a.warmUp:
-		q.takeWarmUp(now, a, r, &step)
+		q.handleWarmUp(now, a, r, &step)
 	default:
-		q.take(now, a, r, &step)
+		q.handleReply(now, a, r, &step)
 	}
-	q.settle(now, &step)
+	q.finishIfComplete(now, &step)
 	return step
 }
 
-// take decides what a reply to an outstanding attempt means.
-func (q *Query) take(now time.Time, a attempt, r *pb.SubrequestResult, step *Step) {
+// handleReply processes the reply to an outstanding attempt.
+func (q *Query) handleReply(now time.Time, a attempt, r *pb.SubrequestResult, step *Step) {
 	switch {
 	case r.GetReason() != pb.Reason_REASON_UNSPECIFIED:
-		q.fail(now, a, r.GetReason(), r.GetEvidence(), step)
-	case !q.fits(a, r):
+		q.handleFailure(now, a, r.GetReason(), r.GetEvidence(), step)
+	case !q.matches(a, r):
 		q.drop(now, r)
-		q.fail(now, a, pb.Reason_REASON_MISMATCH, pb.Evidence_EVIDENCE_UNKNOWN, step)
+		q.handleFailure(now, a, pb.Reason_REASON_MISMATCH, pb.Evidence_EVIDENCE_UNKNOWN, step)
 	case q.snapshot == 0:
 		q.pin(now, a, r, step)
 	case r.GetSnapshot() != q.snapshot || r.GetGeneration() != q.generation.ID:
 		q.drop(now, r)
-		q.otherSnapshot(now, a, step)
+		q.handleOtherSnapshot(now, a, step)
 	default:
-		q.answer(now, a, r, step)
+		q.recordAnswer(now, a, r, step)
 	}
 }
 
-// pin fixes the snapshot that the first reply served.
+// pin sets the snapshot of the query to that of its first reply.
 func (q *Query) pin(now time.Time, a attempt, r *pb.SubrequestResult, step *Step) {
 	gen := q.params.Service.GenerationOf(r.GetSnapshot())
 	if gen == nil || r.GetSnapshot() == 0 || gen.ID != r.GetGeneration() {
 		q.drop(now, r)
-		q.fail(now, a, pb.Reason_REASON_MISMATCH, pb.Evidence_EVIDENCE_UNKNOWN, step)
+		q.handleFailure(now, a, pb.Reason_REASON_MISMATCH, pb.Evidence_EVIDENCE_UNKNOWN, step)
 		return
 	}
 	if gen != q.generation {
@@ -72,10 +72,10 @@
 	}
 	q.snapshot = r.GetSnapshot()
 	q.record(now, TraceEvent{Kind: TracePinned, Snapshot: q.snapshot})
-	q.answer(now, a, r, step)
+	q.recordAnswer(now, a, r, step)
 }
 
-func (q *Query) answer(now time.Time, a attempt, r *pb.SubrequestResult, step *Step) {
+func (q *Query) recordAnswer(now time.Time, a attempt, r *pb.SubrequestResult, step *Step) {
 	s := &q.shards[a.shard]
 	s.phase = shardAnswered
 	s.result = ShardResult{
@@ -85,17 +85,16 @@
 		Queued:  time.Duration(r.GetQueueUs()) * time.Microsecond,
 		Took:    now.Sub(q.start),
 	}
-	q.open--
+	q.pending--
 	q.answered++
 	q.record(now, TraceEvent{Kind: TraceResult, Attempt: r.GetAttempt(), Shard: r.GetShard(), Replica: r.GetReplica(), Snapshot: r.GetSnapshot()})
 	q.cancelShard(a.shard, step)
-	q.planHedge()
+	q.updateHedgeAge()
 }
 
-// fits reports whether a reply is to what the attempt asked. A crossed reply
-// belongs to another request; merging it would hand one caller another caller's
-// rows.
-func (q *Query) fits(a attempt, r *pb.SubrequestResult) bool {
+// matches reports whether a reply names the shard and replica of its attempt. A mismatched
+// reply belongs to another request, and merging it would return another caller's rows.
+func (q *Query) matches(a attempt, r *pb.SubrequestResult) bool {
 	shard := q.generation.Shards[a.shard]
 	return r.GetShard() == shard.Name && r.GetReplica() == a.replica.Name
 }
--- a/policy/query/retry.go
+++ b/policy/query/retry.go
@@ -7,74 +7,73 @@
 )
 
 const (
-	// maxRestarts bounds how often a query starts over at another snapshot.
+	// maxRestarts is the number of times that a query restarts at another snapshot.
 	maxRestarts = 2
-	// maxRounds bounds how often all replicas of a shard are tried in turn.
+	// maxRounds is the number of rounds in which all replicas of a shard are tried.
 	maxRounds = 10
-	// firstBackoff is the pause before the second round; it doubles with each
-	// further one up to maxBackoff.
+	// firstBackoff is the pause before the second round. It doubles with each further
+	// round, up to maxBackoff.
 	firstBackoff = 4 * time.Millisecond
 	maxBackoff   = 32 * time.Millisecond
 )
 
-// otherSnapshot asks again after a reply that served another snapshot. A replica
-// that was free to choose may hold the pinned one as well, so it may be asked
-// once more; one that was told and served another is not.
-func (q *Query) otherSnapshot(now time.Time, a attempt, step *Step) {
+// handleOtherSnapshot retries a shard after a reply from another snapshot. A replica that
+// chose the snapshot may also hold the pinned one and may be tried again. A replica that
+// ignored the requested snapshot may not.
+func (q *Query) handleOtherSnapshot(now time.Time, a attempt, step *Step) {
 	s := &q.shards[a.shard]
 	if a.snapshot == 0 {
 		s.tried = s.tried[:0]
 	}
-	// A hedge that is still out may bring the pinned one. Without it the shard was
-	// given up when that had taken the last replica.
+	// An outstanding hedge may return the pinned snapshot. Without this check the shard
+	// would be given up when the hedge went to the last replica.
 	if s.outstanding > 0 {
 		return
 	}
-	if q.ask(now, a.shard, TraceRetry, step) {
+	if q.sendAttempt(now, a.shard, TraceRetry, step) {
 		q.stats.Retries++
 		return
 	}
-	q.noSnapshot(now, a.shard, step)
+	q.handleNoSnapshot(now, a.shard, step)
 }
 
-// fail moves a shard on after an attempt that brought no result.
-func (q *Query) fail(now time.Time, a attempt, why pb.Reason, evidence pb.Evidence, step *Step) {
+// handleFailure retries a shard after a failed attempt, or marks it absent.
+func (q *Query) handleFailure(now time.Time, a attempt, reason pb.Reason, evidence pb.Evidence, step *Step) {
 	s := &q.shards[a.shard]
-	s.reason = why
-	q.record(now, TraceEvent{Kind: TraceFailure, Shard: q.generation.Shards[a.shard].Name, Replica: a.replica.Name, Reason: why})
+	s.reason = reason
+	q.record(now, TraceEvent{Kind: TraceFailure, Shard: q.generation.Shards[a.shard].Name, Replica: a.replica.Name, Reason: reason})
 	if s.outstanding > 0 {
 		return
 	}
-	if !freeRetry(why, evidence) && !q.env.TakeRetry() {
-		q.giveUp(now, a.shard, why)
+	if !freeRetry(reason, evidence) && !q.env.TakeRetry() {
+		q.markAbsent(now, a.shard, reason)
 		return
 	}
-	if q.ask(now, a.shard, TraceRetry, step) {
+	if q.sendAttempt(now, a.shard, TraceRetry, step) {
 		q.stats.Retries++
 		return
 	}
-	if why == pb.Reason_REASON_NO_SNAPSHOT {
-		q.noSnapshot(now, a.shard, step)
+	if reason == pb.Reason_REASON_NO_SNAPSHOT {
+		q.handleNoSnapshot(now, a.shard, step)
 		return
 	}
-	q.nextRound(now, a.shard, why)
+	q.scheduleRound(now, a.shard, reason)
 }
 
-// freeRetry reports whether another attempt is not charged to the retry budget. A
-// refusal that is known not to have run cost the backend servers nothing. A lost
-// owner takes its whole part of a query with it, which a budget for single
-// failures does not cover: most of its shards would be absent although their
-// other replicas are well. It happens once, since the owner is left out then.
-func freeRetry(why pb.Reason, evidence pb.Evidence) bool {
-	return evidence == pb.Evidence_EVIDENCE_NOT_RUN || why == pb.Reason_REASON_PEER
+// freeRetry reports whether a retry is not charged to the retry budget. An attempt that has
+// not run costs the backend servers nothing. The loss of an owner fails all of its shards in
+// a query at once, which exceeds a budget for single failures. The extra load is bounded,
+// because that owner receives no further attempts.
+func freeRetry(reason pb.Reason, evidence pb.Evidence) bool {
+	return evidence == pb.Evidence_EVIDENCE_NOT_RUN || reason == pb.Reason_REASON_PEER
 }
 
-// noSnapshot restarts the query when no replica of a shard holds the pinned
-// snapshot any more.
-func (q *Query) noSnapshot(now time.Time, i int, step *Step) {
+// handleNoSnapshot restarts the query when no replica of a shard holds the pinned snapshot.
+// Without another snapshot, or after maxRestarts, it marks the shard absent.
+func (q *Query) handleNoSnapshot(now time.Time, i int, step *Step) {
 	next := q.env.Snapshot()
 	if q.stats.Restarts >= maxRestarts || next == q.snapshot {
-		q.giveUp(now, i, pb.Reason_REASON_NO_SNAPSHOT)
+		q.markAbsent(now, i, pb.Reason_REASON_NO_SNAPSHOT)
 		return
 	}
 	q.restart(now, next, step)
@@ -89,28 +88,28 @@
 	q.begin(now, snapshot, step)
 }
 
-// nextRound lets a shard try its replicas again after a pause, because a limit
-// or a lost connection may be over soon.
-func (q *Query) nextRound(now time.Time, i int, why pb.Reason) {
+// scheduleRound lets a shard try its replicas again after a pause, because a limit or a
+// lost connection may recover soon.
+func (q *Query) scheduleRound(now time.Time, i int, reason pb.Reason) {
 	s := &q.shards[i]
-	resume := now.Add(min(firstBackoff<<s.rounds, maxBackoff))
-	if s.rounds+1 >= maxRounds || !resume.Before(q.params.Deadline) {
-		q.giveUp(now, i, why)
+	resumeAt := now.Add(min(firstBackoff<<s.rounds, maxBackoff))
+	if s.rounds+1 >= maxRounds || !resumeAt.Before(q.params.Deadline) {
+		q.markAbsent(now, i, reason)
 		return
 	}
 	s.rounds++
 	s.tried = s.tried[:0]
-	s.resumeAt = resume
-	if q.paused == 0 || resume.Before(q.resumeAt) {
-		q.resumeAt = resume
+	s.resumeAt = resumeAt
+	if q.paused == 0 || resumeAt.Before(q.resumeAt) {
+		q.resumeAt = resumeAt
 	}
 	q.paused++
 }
 
-func (q *Query) giveUp(now time.Time, i int, why pb.Reason) {
+func (q *Query) markAbsent(now time.Time, i int, reason pb.Reason) {
 	s := &q.shards[i]
 	s.phase = shardAbsent
-	s.reason = why
-	q.open--
-	q.record(now, TraceEvent{Kind: TraceAbsent, Shard: q.generation.Shards[i].Name, Reason: why})
+	s.reason = reason
+	q.pending--
+	q.record(now, TraceEvent{Kind: TraceAbsent, Shard: q.generation.Shards[i].Name, Reason: reason})
 }
--- a/policy/query/tick.go
+++ b/policy/query/tick.go
@@ -6,13 +6,13 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// NextTick returns when Tick has to be called, unless a reply comes before.
+// NextTick returns the time at which Tick must be called if no reply arrives before.
 func (q *Query) NextTick() time.Time {
 	next := q.params.Deadline
 	if !q.hedgeAt.IsZero() && q.hedgeAt.Before(next) {
 		next = q.hedgeAt
 	}
-	if q.earlyWanted() {
+	if q.earlyAnswerAllowed() {
 		if early := q.start.Add(q.params.EarlyAfter); early.Before(next) {
 			next = early
 		}
@@ -23,7 +23,7 @@
 	return next
 }
 
-// Tick acts on the time: deadline, early answer, next rounds and hedges.
+// Tick processes timers: the deadline, the early answer, next rounds and hedges.
 func (q *Query) Tick(now time.Time) Step {
 	var step Step
 	if q.done {
@@ -33,23 +33,22 @@
 		q.finish(now, pb.Reason_REASON_DEADLINE, &step)
 		return step
 	}
-	if q.earlyWanted() && now.Sub(q.start) >= q.params.EarlyAfter {
+	if q.earlyAnswerAllowed() && now.Sub(q.start) >= q.params.EarlyAfter {
 		q.finish(now, pb.Reason_REASON_DEADLINE, &step)
 		return step
 	}
 	if q.paused > 0 && !now.Before(q.resumeAt) {
-		q.resume(now, &step)
+		q.resumeShards(now, &step)
 	}
 	if !q.hedgeAt.IsZero() && !now.Before(q.hedgeAt) {
-		q.hedge(now, &step)
+		q.sendHedges(now, &step)
 	}
-	q.settle(now, &step)
+	q.finishIfComplete(now, &step)
 	return step
 }
 
-// earlyWanted reports whether the coverage reached is enough for an answer
-// before the deadline.
-func (q *Query) earlyWanted() bool {
+// earlyAnswerAllowed reports whether the coverage suffices for an answer before the deadline.
+func (q *Query) earlyAnswerAllowed() bool {
 	if q.params.EarlyAfter == 0 {
 		return false
 	}
@@ -61,25 +60,25 @@
 	return s.phase == shardWaiting && s.outstanding == 0
 }
 
-// resume begins the next round of the shards whose pause is over.
-func (q *Query) resume(now time.Time, step *Step) {
+// resumeShards begins the next round of the shards whose pause has ended.
+func (q *Query) resumeShards(now time.Time, step *Step) {
 	for i := range q.shards {
 		s := &q.shards[i]
 		if !s.paused() || now.Before(s.resumeAt) {
 			continue
 		}
-		if q.ask(now, i, TraceRetry, step) {
+		if q.sendAttempt(now, i, TraceRetry, step) {
 			q.stats.Retries++
 			continue
 		}
-		q.nextRound(now, i, pb.Reason_REASON_NO_REPLICA)
+		q.scheduleRound(now, i, pb.Reason_REASON_NO_REPLICA)
 	}
-	q.countPaused()
+	q.updatePaused()
 }
 
-// countPaused keeps NextTick from looking at every shard after each reply, which
-// would cost a query the square of its shards.
-func (q *Query) countPaused() {
+// updatePaused recomputes the paused shards when a round begins. Without it, NextTick would scan
+// all shards after each reply, in quadratic time per query.
+func (q *Query) updatePaused() {
 	q.paused = 0
 	for i := range q.shards {
 		s := &q.shards[i]
--- a/policy/query/warmup.go
+++ b/policy/query/warmup.go
@@ -6,13 +6,12 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// warmUp sends a copy of a shard's first attempt to a cold replica that is due
-// one. A cold replica warms up only by requests, and a query that had to wait for
-// it would be slow: with copies the caller gets the other replica's answer, and
-// the replica is back in a fraction of the time. Nothing waits for a copy, so it
-// counts neither as a hedge nor as one of the replicas that the shard has tried.
+// warmUp sends a copy of a shard's first attempt to a cold replica. A cold replica only
+// warms up by serving requests, but a query that waits for it is slow. A copy warms the
+// replica while the shard is answered by another. The shard does not wait for the copy, so
+// it counts neither as a hedge nor as a tried replica.
 //
-// Before the snapshot is pinned no copy is sent: its reply could not pin one.
+// No copy is sent before a snapshot is pinned, because its reply could not pin one.
 func (q *Query) warmUp(now time.Time, i int, step *Step) {
 	if q.snapshot == 0 {
 		return
@@ -27,15 +26,15 @@
 	q.dispatch(now, i, replica, TraceWarmUp, step)
 }
 
-// takeWarmUp merges the reply to a copy when it is the first good one. Any other
-// changes nothing: the shard's own attempt goes on.
-func (q *Query) takeWarmUp(now time.Time, a attempt, r *pb.SubrequestResult, step *Step) {
+// handleWarmUp merges the reply to a copy if it is the first valid one for the shard. It
+// ignores any other reply, because the shard's own attempt continues.
+func (q *Query) handleWarmUp(now time.Time, a attempt, r *pb.SubrequestResult, step *Step) {
 	if r.GetReason() != pb.Reason_REASON_UNSPECIFIED {
 		return
 	}
-	if !q.fits(a, r) || r.GetSnapshot() != q.snapshot || r.GetGeneration() != q.generation.ID {
+	if !q.matches(a, r) || r.GetSnapshot() != q.snapshot || r.GetGeneration() != q.generation.ID {
 		q.drop(now, r)
 		return
 	}
-	q.answer(now, a, r, step)
+	q.recordAnswer(now, a, r, step)
 }
--- a/policy/query/warmup_test.go
+++ b/policy/query/warmup_test.go
@@ -10,8 +10,8 @@
 	"github.com/carobmill/carobmill/policy/query"
 )
 
-// startWithCopy starts a query with one copy, and returns the first attempt and
-// the copy of the first shard.
+// startWithCopy starts a query with one copy. It returns the first attempt and the copy of
+// the first shard, and the attempts of the other shards.
 func startWithCopy(t *testing.T) (q *query.Query, first, warmUp query.Send, rest []query.Send) {
 	q = newQuery(t, &testEnv{snapshot: 7, warmUps: 1, retries: 1, hedgeAfter: 20 * time.Millisecond})
 	sends := q.Start(epoch).Send
@@ -21,10 +21,8 @@
 	return q, sends[0], sends[1], sends[2:]
 }
 
-// The caller gets its answer as fast as without the cold replica: a copy of the
-// shard's subrequest is out at it, the warm replica answers, the copy is withdrawn
-// and the query ends with the last of the ordinary attempts.
-func TestQueryDoesNotWaitForACopy(t *testing.T) {
+// A query must end with its last ordinary attempt, and cancel the outstanding copy.
+func TestQueryDoesNotWaitForAWarmUpCopy(t *testing.T) {
 	c := qt.New(t)
 	q, first, warmUp, rest := startWithCopy(t)
 	step := q.Reply(epoch, served(first, 7, 1))
@@ -37,11 +35,9 @@
 	c.Assert(q.Answer().Stats.WarmUps, qt.Equals, 1)
 }
 
-// The caller does not notice that the ordinary attempts fail while a copy is out at
-// the cold replica: the shard is asked again at once, as if there were no copy, and
-// pauses when no replica is left. The copy is refused meanwhile, which neither
-// lengthens the pause nor ends it.
-func TestFailureIsRetriedAlthoughACopyIsOut(t *testing.T) {
+// An outstanding copy must neither prevent the retry of a failed attempt nor change the pause
+// before the next round.
+func TestFailureIsRetriedWhileACopyIsInFlight(t *testing.T) {
 	c := qt.New(t)
 	q, first, warmUp, _ := startWithCopy(t)
 	retry := q.Reply(epoch, failed(first, pb.Reason_REASON_LIMIT, pb.Evidence_EVIDENCE_NOT_RUN))
@@ -51,15 +47,14 @@
 	resume := q.NextTick()
 	q.Reply(epoch, failed(warmUp, pb.Reason_REASON_COLD, pb.Evidence_EVIDENCE_NOT_RUN))
 	c.Assert(q.NextTick(), qt.Equals, resume)
-	again := q.Tick(resume)
-	c.Assert(again.Send, qt.HasLen, 1)
-	q.Reply(resume, served(again.Send[0], 7, 1))
+	resumed := q.Tick(resume)
+	c.Assert(resumed.Send, qt.HasLen, 1)
+	q.Reply(resume, served(resumed.Send[0], 7, 1))
 	c.Assert(q.Answer().Results, qt.HasLen, 1)
 }
 
-// A copy that answers first is as good as any answer: it is merged and the
-// ordinary attempt withdrawn.
-func TestCopyThatAnswersFirstIsTaken(t *testing.T) {
+// A copy that answers first must be merged, and the ordinary attempt cancelled.
+func TestCopyThatAnswersFirstIsMerged(t *testing.T) {
 	c := qt.New(t)
 	q, first, warmUp, _ := startWithCopy(t)
 	step := q.Reply(epoch, served(warmUp, 7, 1))
