--- a/policy/coordinator/coordinator.go
+++ b/policy/coordinator/coordinator.go
@@ -45,8 +45,8 @@
 	heartbeatFreshFor = 1500 * time.Millisecond
 	// offerWeight is the EWMA weight of a new offer.
 	offerWeight = 0.2
-	// rankSpread distributes nodes over equal coordinators and makes each node keep its
-	// own. It is a share of the cost, small enough to stay below remotePenaltySeconds.
+	// rankSpread distributes nodes over equal coordinators, and makes each node stay with
+	// one of them. It is a share of the cost and stays below remotePenaltySeconds.
 	rankSpread = 0.1
 	// minBackoff and maxBackoff bound the time before a failed coordinator is probed. The
 	// probe is a heartbeat, so that no request is spent on it.
--- a/policy/coordinator/size.go
+++ b/policy/coordinator/size.go
@@ -30,8 +30,7 @@
 	return &Registrations{nodes: make(map[string]*registration)}
 }
 
-// Put adds or replaces the record of a node, and reports whether the fleet
-// changes.
+// Put adds or replaces the record of a node, and reports whether the fleet changes.
 func (r *Registrations) Put(name string, m Member, revision uint64) bool {
 	r.revision = max(r.revision, revision)
 	previous := r.nodes[name]
--- a/policy/gather/gather.go
+++ b/policy/gather/gather.go
@@ -155,8 +155,8 @@
 }
 
 // Dispensable reports whether the request can succeed without shard i and all other
-// unanswered shards that had a failure. When the budget for extra requests runs low, the remainder is
-// reserved for shards that are not dispensable.
+// unanswered shards that had a failure. When the budget for extra requests runs low, the
+// remainder is reserved for shards that are not dispensable.
 func (q *Query) Dispensable(i int) bool {
 	missing := 1
 	for k := range q.shards {
--- a/policy/hedge/after.go
+++ b/policy/hedge/after.go
@@ -11,8 +11,9 @@
 	// ageQuantile is the fraction of subrequests that answer before a hedge is sent. The
 	// remaining 3% fit into the default budget of 5%.
 	ageQuantile = 0.97
-	// stragglerShare is the share of a query's shards that may be outstanding when
-	// a hedge is sent, in addition to minStragglers. A larger share indicates load, a lost network path or a slow query.
+	// stragglerShare is the share of a query's shards that may be outstanding when a hedge
+	// is sent, in addition to minStragglers. A larger share indicates load, a lost network
+	// path or a slow query.
 	stragglerShare = 0.1
 	// minStragglers is the number of shards that may be outstanding in any query.
 	minStragglers = 2
--- a/policy/query/hedge.go
+++ b/policy/query/hedge.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// waitingShards returns the shards without a result.
+// waitingShards returns the shards that are neither answered nor absent.
 func (q *Query) waitingShards() []int {
 	if q.waiting == nil {
 		for i := range q.shards {
--- a/policy/query/query.go
+++ b/policy/query/query.go
@@ -30,7 +30,7 @@
 	TakeRetry() bool
 	// HedgeAfter returns the age from which an attempt may be hedged. It is called at the
 	// start and after each answer. slowest is the longest latency of an answer to a shard
-	// without a hedge.
+	// without a hedge. Query does not record these latencies and passes 0.
 	HedgeAfter(answered, total int, slowest time.Duration) time.Duration
 }
 
@@ -130,7 +130,7 @@
 	snapshot   uint64
 	generation *config.Generation
 	shards     []shardState
-	// pending counts shards without a result.
+	// pending counts shards that are neither answered nor absent.
 	pending  int
 	answered int
 	attempts map[uint64]attempt
@@ -140,8 +140,8 @@
 	resumeAt time.Time
 
 	// hedgeAfter is the age from which an attempt may be hedged, and hedgeAt the earliest
-	// such time, zero when there is none. waiting holds the shards without a result, and
-	// possibly some that have one; it is nil before its first use.
+	// such time, zero when there is none. waiting holds the pending shards, and possibly
+	// some that have ended since its last use; it is nil before its first use.
 	hedgeAfter time.Duration
 	hedgeAt    time.Time
 	slowest    time.Duration
