--- a/node/fleet/claim.go
+++ b/node/fleet/claim.go
@@ -85,7 +85,7 @@
 func (f *Fleet) noteResting(now time.Time) {
 	v := f.view.Load()
 	for name, w := range f.wanted {
-		missing := f.claims.Missing(now, name, v.order(w.replica, now), settleTime(w.replica))
+		missing := f.claims.MissingConsents(now, name, v.order(w.replica, now), settleTime(w.replica))
 		switch {
 		case len(missing) > 0:
 			w.rests++
@@ -124,7 +124,7 @@
 		if !v.self.Usable() || f.mustSettleIn(now, order) {
 			continue
 		}
-		f.addClaims(exchanges, name, f.claims.Ask(now, name, order, settleTime(w.replica)))
+		f.addClaims(exchanges, name, f.claims.BeginClaim(now, name, order, settleTime(w.replica)))
 	}
 	return round, exchanges
 }
@@ -180,10 +180,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, replica := range resp.GetGranted() {
-		f.claims.Granted(sent, replica, by)
+		f.claims.RecordGrant(sent, replica, by)
 	}
 	for _, replica := range ex.releases {
-		f.claims.Released(replica, by, round)
+		f.claims.RecordRelease(replica, by, round)
 	}
 }
 
@@ -194,7 +194,7 @@
 	defer f.mu.Unlock()
 	v := f.view.Load()
 	for _, r := range v.ownReplicas(releases) {
-		f.claims.TakeBack(now, ownership.Claim{Replica: r.Name, By: from, Round: round}, v.order(r, now))
+		f.claims.EndGrant(now, ownership.Claim{Replica: r.Name, Claimant: from, Round: round}, v.order(r, now))
 	}
 }
 
@@ -207,7 +207,7 @@
 	v := f.view.Load()
 	var granted []string
 	for _, r := range v.ownReplicas(claims) {
-		claim := ownership.Claim{Replica: r.Name, By: to, Round: round}
+		claim := ownership.Claim{Replica: r.Name, Claimant: to, Round: round}
 		if f.claims.Grant(now, claim, v.order(r, now), inFlight[r.Name], settleTime(r)) {
 			granted = append(granted, r.Name)
 		}
--- a/node/fleet/cold.go
+++ b/node/fleet/cold.go
@@ -74,8 +74,8 @@
 // mustSettleIn reports whether this node joined too recently to claim anything: it
 // has not met the others yet. In a data centre with more nodes than are asked for
 // consent, a claimant that has not heard of this node yet may have asked others.
-func (f *Fleet) mustSettleIn(now time.Time, order ownership.Order) bool {
-	rivals := len(order.Above) + len(order.Below)
+func (f *Fleet) mustSettleIn(now time.Time, order ownership.Ranking) bool {
+	rivals := len(order.Higher) + len(order.Lower)
 	return f.isNewcomer(now) || rivals > claimParams.MaxGranters && now.Sub(f.since) < joinSpread
 }
 
@@ -88,15 +88,15 @@
 // order returns the ranking for a replica around this node. Every member of the
 // data centre that is not confirmed gone keeps its place, dead ones included: a
 // dead member may be running behind a partition and still sending.
-func (v *view) order(r *config.Replica, now time.Time) ownership.Order {
-	var order ownership.Order
-	list := &order.Above
+func (v *view) order(r *config.Replica, now time.Time) ownership.Ranking {
+	var order ownership.Ranking
+	list := &order.Higher
 	for _, m := range v.ranking(r) {
 		if m.ID() == v.self.ID() {
-			list = &order.Below
+			list = &order.Lower
 			continue
 		}
-		rival := ownership.Rival{Node: nodeOf(m)}
+		rival := ownership.Candidate{Node: nodeOf(m)}
 		if m.State == pb.MemberState_MEMBER_STATE_LEAVING {
 			rival.LeavingFor = now.Sub(m.Since)
 		}
--- a/node/fleet/envelope.go
+++ b/node/fleet/envelope.go
@@ -76,7 +76,7 @@
 func (f *Fleet) unsent(news []*pb.MemberChange) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.table.Unsent(news)
+	f.table.MarkUnsent(news)
 }
 
 // answerEnvelope is Envelope for the answer to a ping. It tells the sender what
@@ -86,7 +86,7 @@
 	defer f.mu.Unlock()
 	changes := f.withNews(f.table.Changes(), sender)
 	if target != "" {
-		changes = append(changes, f.table.NewsOf(target)...)
+		changes = append(changes, f.table.NonAliveChanges(target)...)
 	}
 	return f.envelope(changes)
 }
@@ -94,7 +94,7 @@
 // withNews adds what this node believes of the receiver, unless it is alive. The
 // caller holds mu.
 func (f *Fleet) withNews(changes []*pb.MemberChange, receiver membership.ID) []*pb.MemberChange {
-	if about := f.table.About(receiver); about != nil {
+	if about := f.table.NonAliveChange(receiver); about != nil {
 		return append(changes, about)
 	}
 	return changes
@@ -126,8 +126,8 @@
 		for _, change := range env.GetChanges() {
 			f.apply(now, change)
 		}
-		f.table.Heard(membership.ID{Name: env.GetSender(), Boot: env.GetBoot()}, env.GetConfigVersion())
-		urgent = f.table.Urgent()
+		f.table.UpdateConfigVersion(membership.ID{Name: env.GetSender(), Boot: env.GetBoot()}, env.GetConfigVersion())
+		urgent = f.table.HasPriorityPing()
 	})
 	if urgent {
 		wake(f.pingWake)
@@ -161,12 +161,12 @@
 
 // apply takes in one change. The caller holds mu.
 func (f *Fleet) apply(now time.Time, change *pb.MemberChange) {
-	if f.table.Apply(now, change) != membership.Displaced {
+	if f.table.Apply(now, change) != membership.DeclaredGone {
 		return
 	}
 	old := f.table.Self()
 	f.table.Rejoin(f.rng.Uint64())
-	f.claims.Restart()
+	f.claims.Reset()
 	f.since = now
 	f.note("rejoined", old.Name, "others counted the earlier boot as gone")
 }
--- a/node/fleet/fleet.go
+++ b/node/fleet/fleet.go
@@ -44,7 +44,7 @@
 	// Watch waits until the key has a revision above after, or until ctx ends.
 	Watch(ctx context.Context, key string, after uint64) (Entry, error)
 	// VMs reads the VM list, which lags.
-	VMs(ctx context.Context) ([]membership.Listing, error)
+	VMs(ctx context.Context) ([]membership.ListedVM, error)
 }
 
 // ErrNoConfiguration says that the platform answered and holds no configuration.
--- a/node/fleet/fuzz_test.go
+++ b/node/fleet/fuzz_test.go
@@ -32,7 +32,7 @@
 
 func (deaf) Watch(context.Context, string, uint64) (Entry, error) { return Entry{}, errUnreachable }
 
-func (deaf) VMs(context.Context) ([]membership.Listing, error) { return nil, errUnreachable }
+func (deaf) VMs(context.Context) ([]membership.ListedVM, error) { return nil, errUnreachable }
 
 func lonely() *Fleet {
 	log := logrus.New()
--- a/node/fleet/join.go
+++ b/node/fleet/join.go
@@ -212,7 +212,7 @@
 	env := resp.GetEnvelope()
 	id := membership.ID{Name: env.GetSender(), Boot: env.GetBoot()}
 	f.unlockAfter(func() {
-		f.table.Answered(time.Now(), id, addr)
+		f.table.PingAnswered(time.Now(), id, addr)
 		if !f.newcomer.introduced {
 			f.newcomer.met[addr] = true
 		}
--- a/node/fleet/ping.go
+++ b/node/fleet/ping.go
@@ -50,7 +50,7 @@
 // pinged at once.
 func (f *Fleet) hurry(ctx context.Context) {
 	f.mu.Lock()
-	urgent := f.table.Urgent()
+	urgent := f.table.HasPriorityPing()
 	f.mu.Unlock()
 	if urgent && work.Sleep(ctx, urgentSpacing) {
 		wake(f.pingWake)
@@ -65,7 +65,7 @@
 	if f.pingThroughHelpers(ctx, target) || ctx.Err() != nil {
 		return
 	}
-	f.unlockAfter(func() { f.table.Unanswered(time.Now(), target.ID()) })
+	f.unlockAfter(func() { f.table.PingFailed(time.Now(), target.ID()) })
 }
 
 // ping sends one direct ping and reports whether the target answered.
@@ -83,7 +83,7 @@
 		return false
 	}
 	id := membership.ID{Name: resp.GetEnvelope().GetSender(), Boot: resp.GetEnvelope().GetBoot()}
-	f.unlockAfter(func() { f.table.Answered(time.Now(), id, target.PeerAddress) })
+	f.unlockAfter(func() { f.table.PingAnswered(time.Now(), id, target.PeerAddress) })
 	if target.State == pb.MemberState_MEMBER_STATE_DEAD && id == target.ID() {
 		f.rejoinAfterPartition(ctx, target)
 	}
@@ -177,7 +177,7 @@
 	}
 	if req.GetJoin() {
 		f.mu.Lock()
-		resp.Envelope = f.envelope(f.table.All())
+		resp.Envelope = f.envelope(f.table.AllChanges())
 		f.mu.Unlock()
 		return resp, nil
 	}
@@ -203,8 +203,8 @@
 // broken.
 func (f *Fleet) Suspected(node string) {
 	f.mu.Lock()
-	f.table.Urge(node)
-	urgent := f.table.Urgent()
+	f.table.PrioritisePing(node)
+	urgent := f.table.HasPriorityPing()
 	f.mu.Unlock()
 	if urgent {
 		wake(f.pingWake)
@@ -233,7 +233,7 @@
 // Left announces that this node has finished its work. Call it last: what the
 // node held passes to others at once.
 func (f *Fleet) Left(ctx context.Context) {
-	f.unlockAfter(f.table.Left)
+	f.unlockAfter(f.table.FinishLeave)
 	f.tellSome(ctx)
 }
 
--- a/node/fleet/platform.go
+++ b/node/fleet/platform.go
@@ -156,13 +156,13 @@
 		if list == nil {
 			continue
 		}
-		f.unlockAfter(func() { f.table.Listed(time.Now(), list) })
+		f.unlockAfter(func() { f.table.ApplyVMList(time.Now(), list) })
 		f.joinStrangers(ctx, list)
 	}
 }
 
 // readList returns nil when the platform does not answer.
-func (f *Fleet) readList(ctx context.Context) []membership.Listing {
+func (f *Fleet) readList(ctx context.Context) []membership.ListedVM {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
 	f.stats.lists.Add(1)
--- a/node/fleet/start.go
+++ b/node/fleet/start.go
@@ -58,14 +58,14 @@
 
 // askPeers joins several peers and returns the versions that they hold, and how
 // many peers are known.
-func (f *Fleet) askPeers(ctx context.Context) ([]configstate.Held, int) {
+func (f *Fleet) askPeers(ctx context.Context) ([]configstate.PeerVersion, int) {
 	addrs := f.knownAddresses(ctx)
 	known := len(addrs)
 	if len(addrs) > startPeers {
 		addrs = addrs[:startPeers]
 	}
 	var mu sync.Mutex
-	var answers []configstate.Held
+	var answers []configstate.PeerVersion
 	var wg sync.WaitGroup
 	for _, addr := range addrs {
 		wg.Go(func() {
@@ -75,7 +75,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			answers = append(answers, configstate.Held{Peer: env.GetSender(), Version: env.GetConfigVersion()})
+			answers = append(answers, configstate.PeerVersion{Peer: env.GetSender(), Version: env.GetConfigVersion()})
 		})
 	}
 	wg.Wait()
@@ -125,16 +125,16 @@
 
 // offer puts a configuration in force if it is newer.
 func (f *Fleet) offer(raw *pb.Configuration, from string) bool {
-	var verdict configstate.Verdict
+	var verdict configstate.Outcome
 	f.unlockAfter(func() {
 		var err error
 		verdict, err = f.state.Offer(raw)
 		switch verdict {
 		case configstate.Accepted:
 			f.note("configuration in force", versionText(raw.GetVersion()), "from "+from)
-		case configstate.Damaged:
+		case configstate.Invalid:
 			f.note("configuration refused", versionText(raw.GetVersion()), "from "+from+": "+err.Error())
-		case configstate.Old:
+		case configstate.Stale:
 		}
 	})
 	return verdict == configstate.Accepted
@@ -142,7 +142,7 @@
 
 // joinStrangers joins a VM that the platform lists and the table does not hold:
 // two parts of the fleet that never met would otherwise stay apart.
-func (f *Fleet) joinStrangers(ctx context.Context, list []membership.Listing) {
+func (f *Fleet) joinStrangers(ctx context.Context, list []membership.ListedVM) {
 	for _, vm := range list {
 		if vm.Name == f.Self().Name || vm.Leaving || vm.PeerAddress == "" {
 			continue
--- a/node/fleet/view.go
+++ b/node/fleet/view.go
@@ -74,7 +74,7 @@
 		watchers = int(v.index.Raw.GetSheet().GetTuning().GetWatchers())
 	}
 	dc := v.self.DataCentre
-	v.watcher = configstate.Watches(v.self.Name, dc, names(v.candidates[dc]), watchers)
+	v.watcher = configstate.IsWatcher(v.self.Name, dc, names(v.candidates[dc]), watchers)
 	f.view.Store(v)
 	f.revision.Add(1)
 }
--- a/node/fleet/world_test.go
+++ b/node/fleet/world_test.go
@@ -422,16 +422,16 @@
 	}
 }
 
-func (p *platformOf) VMs(ctx context.Context) ([]membership.Listing, error) {
+func (p *platformOf) VMs(ctx context.Context) ([]membership.ListedVM, error) {
 	if err := p.call(ctx); err != nil {
 		return nil, err
 	}
 	p.w.mu.Lock()
 	defer p.w.mu.Unlock()
-	var list []membership.Listing
+	var list []membership.ListedVM
 	for _, n := range p.w.nodes {
 		if !p.w.platform.unlisted[n.name] {
-			list = append(list, membership.Listing{Name: n.name, DataCentre: n.dc, PeerAddress: n.addr})
+			list = append(list, membership.ListedVM{Name: n.name, DataCentre: n.dc, PeerAddress: n.addr})
 		}
 	}
 	return list, nil
--- a/node/node/platform.go
+++ b/node/node/platform.go
@@ -28,14 +28,14 @@
 	return fleet.Entry(entry), err
 }
 
-func (p fleetPlatform) VMs(ctx context.Context) ([]membership.Listing, error) {
+func (p fleetPlatform) VMs(ctx context.Context) ([]membership.ListedVM, error) {
 	vms, err := p.client.VMs(ctx)
 	if err != nil {
 		return nil, err
 	}
-	list := make([]membership.Listing, 0, len(vms))
+	list := make([]membership.ListedVM, 0, len(vms))
 	for _, vm := range vms {
-		list = append(list, membership.Listing{
+		list = append(list, membership.ListedVM{
 			Name:        vm.Name,
 			DataCentre:  vm.DataCentre,
 			PeerAddress: vm.PeerAddress,
--- a/node/owner/owner.go
+++ b/node/owner/owner.go
@@ -218,7 +218,7 @@
 
 // share returns the connections that this node may hold to a replica.
 func (o *Owner) share(r *config.Replica) int {
-	return ownership.Share(int(r.Service.Spec.GetConnections()), o.Fleet.OwnersPerReplica(r))
+	return ownership.ConnectionShare(int(r.Service.Spec.GetConnections()), o.Fleet.OwnersPerReplica(r))
 }
 
 // list returns the owned entries.
--- a/policy/config/config_test.go
+++ b/policy/config/config_test.go
@@ -51,7 +51,7 @@
 	c.Assert(svc.Latest().Shard("n1").Position, qt.Equals, 1)
 }
 
-func TestReplicaOfADataCentreThatIsOutIsOut(t *testing.T) {
+func TestReplicaIsOutOfServiceWithItsDataCentre(t *testing.T) {
 	c := qt.New(t)
 	x, err := config.New(repartitioned())
 	c.Assert(err, qt.IsNil)
@@ -60,7 +60,7 @@
 	c.Assert(x.ReplicaNames(), qt.DeepEquals, []string{"r0", "r1"})
 }
 
-func TestDamagedConfigurationIsRefused(t *testing.T) {
+func TestInvalidConfigurationIsRejected(t *testing.T) {
 	c := qt.New(t)
 	raw := repartitioned()
 	raw.Sheet.Services[0].Generations[1].Shards[0].Replicas[0].Address = "127.0.0.1:9"
--- a/policy/configstate/configstate.go
+++ b/policy/configstate/configstate.go
@@ -17,14 +17,14 @@
 	return "carobmill/" + fleet + "/configuration"
 }
 
-// Verdict is what Offer made of a configuration.
-type Verdict int
+// Outcome is what Offer made of a configuration.
+type Outcome int
 
 const (
-	// Old is not higher than the version in force. Stale reads end here.
-	Old Verdict = iota
-	// Damaged means that it cannot be indexed, or it belongs to another fleet.
-	Damaged
+	// Stale is not higher than the version in force. Stale reads end here.
+	Stale Outcome = iota
+	// Invalid means that it cannot be indexed, or it belongs to another fleet.
+	Invalid
 	// Accepted is in force now.
 	Accepted
 )
@@ -60,35 +60,35 @@
 // The comparison is the only guard that is needed against reads from the past:
 // versions are given out by compare-and-swap, so a higher one is newer wherever
 // it comes from.
-func (s *State) Offer(raw *pb.Configuration) (Verdict, error) {
+func (s *State) Offer(raw *pb.Configuration) (Outcome, error) {
 	if raw.GetVersion() <= s.Version() {
-		return Old, nil
+		return Stale, nil
 	}
 	if fleet := raw.GetSheet().GetFleet(); fleet != s.fleet {
-		return Damaged, &ForeignError{Fleet: fleet}
+		return Invalid, &FleetMismatchError{Fleet: fleet}
 	}
 	index, err := config.New(raw)
 	if err != nil {
-		return Damaged, err
+		return Invalid, err
 	}
 	s.index = index
 	return Accepted, nil
 }
 
-// ForeignError reports a configuration of another fleet.
-type ForeignError struct {
+// FleetMismatchError reports a configuration of another fleet.
+type FleetMismatchError struct {
 	Fleet string
 }
 
 // Error names the other fleet.
-func (e *ForeignError) Error() string {
+func (e *FleetMismatchError) Error() string {
 	return "configuration belongs to fleet " + e.Fleet
 }
 
-// Watches reports whether self is among the nodes of its data centre that watch
+// IsWatcher reports whether self is among the nodes of its data centre that watch
 // the platform's key. Each node decides alone from its own members; when views
 // differ one more or one less watches for a while, which does no harm.
-func Watches(self string, dataCentre string, usable []string, watchers int) bool {
+func IsWatcher(self string, dataCentre string, usable []string, watchers int) bool {
 	ranked := ownership.Rank("watch/"+dataCentre, usable)
 	if len(ranked) > watchers {
 		ranked = ranked[:watchers]
@@ -101,8 +101,8 @@
 	return false
 }
 
-// Held is the version that one peer said it has in force, 0 for none.
-type Held struct {
+// PeerVersion is the version that one peer said it has in force, 0 for none.
+type PeerVersion struct {
 	Peer    string
 	Version uint64
 }
@@ -119,12 +119,12 @@
 // A version, once accepted, is superseded but never taken back, so a peer on a
 // higher one has passed through the lower one. Asking two peers keeps a node
 // from starting on what a single peer held that has been cut off for hours.
-func StartVersion(answers []Held, known int) (uint64, []string) {
+func StartVersion(answers []PeerVersion, known int) (uint64, []string) {
 	need := min(witnesses, known)
 	if need == 0 || len(answers) < need {
 		return 0, nil
 	}
-	sorted := append([]Held(nil), answers...)
+	sorted := append([]PeerVersion(nil), answers...)
 	sort.Slice(sorted, func(i, j int) bool {
 		if sorted[i].Version != sorted[j].Version {
 			return sorted[i].Version > sorted[j].Version
@@ -139,7 +139,7 @@
 }
 
 // Highest returns the highest version among the answers, 0 for none.
-func Highest(answers []Held) uint64 {
+func Highest(answers []PeerVersion) uint64 {
 	var highest uint64
 	for _, h := range answers {
 		highest = max(highest, h.Version)
@@ -148,7 +148,7 @@
 }
 
 // Sources returns the peers that hold at least a version, highest first.
-func Sources(held []Held, version uint64) []string {
+func Sources(held []PeerVersion, version uint64) []string {
 	var peers []string
 	for _, h := range held {
 		if h.Version >= version {
--- a/policy/configstate/configstate_test.go
+++ b/policy/configstate/configstate_test.go
@@ -87,10 +87,10 @@
 // start is what a node with nothing does without the platform: it asks some
 // peers and takes what several hold.
 func (a *acceptance) start(t *rapid.T, n *acceptNode) {
-	var answers []Held
+	var answers []PeerVersion
 	for i, peer := range a.nodes {
 		if peer != n && rapid.Bool().Draw(t, "answers") {
-			answers = append(answers, Held{Peer: fmt.Sprint(i), Version: peer.state.Version()})
+			answers = append(answers, PeerVersion{Peer: fmt.Sprint(i), Version: peer.state.Version()})
 		}
 	}
 	version, sources := StartVersion(answers, len(a.nodes)-1)
@@ -174,13 +174,13 @@
 // node in force never goes back, and only accepted versions are in force. A long
 // run with a fresh seed:
 //
-//	go test ./policy/configstate -run Acceptance -rapid.checks=500000 -rapid.seed=$RANDOM
-func TestAcceptanceOfConfigurations(t *testing.T) {
+//	go test ./policy/configstate -run NeverDecreases -rapid.checks=500000 -rapid.seed=$RANDOM
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, acceptanceLife(broken{}))
 }
 
 // The seed is the one of modeltest.
-func TestAcceptanceCheckCatchesBrokenVariants(t *testing.T) {
+func TestVersionCheckCatchesBrokenVariants(t *testing.T) {
 	for name, v := range map[string]broken{
 		"no comparison of versions": {takesAny: true},
 		"start on the oldest":       {startsOnOldest: true},
@@ -192,15 +192,15 @@
 
 func TestStartVersion(t *testing.T) {
 	c := qt.New(t)
-	held := func(versions ...uint64) []Held {
-		var list []Held
+	held := func(versions ...uint64) []PeerVersion {
+		var list []PeerVersion
 		for i, v := range versions {
-			list = append(list, Held{Peer: fmt.Sprint("p", i), Version: v})
+			list = append(list, PeerVersion{Peer: fmt.Sprint("p", i), Version: v})
 		}
 		return list
 	}
 	for _, tc := range []struct {
-		answers []Held
+		answers []PeerVersion
 		known   int
 		want    uint64
 	}{
@@ -218,7 +218,7 @@
 	}
 }
 
-func TestWatchersAreFewAndKnown(t *testing.T) {
+func TestWatcherCountIsLimited(t *testing.T) {
 	c := qt.New(t)
 	var names []string
 	for i := range 94 {
@@ -226,18 +226,18 @@
 	}
 	watching := 0
 	for _, name := range names {
-		if Watches(name, "a", names, 2) {
+		if IsWatcher(name, "a", names, 2) {
 			watching++
 		}
 	}
 	c.Assert(watching, qt.Equals, 2)
 }
 
-func TestForeignConfigurationIsRefused(t *testing.T) {
+func TestConfigurationOfAnotherFleetIsRejected(t *testing.T) {
 	c := qt.New(t)
 	foreign := configuration(9, "x")
 	foreign.Sheet.Fleet = "other"
 	verdict, err := New("f").Offer(foreign)
-	c.Assert(verdict, qt.Equals, Damaged)
+	c.Assert(verdict, qt.Equals, Invalid)
 	c.Assert(err, qt.ErrorMatches, "configuration belongs to fleet other")
 }
--- a/policy/membership/cost_test.go
+++ b/policy/membership/cost_test.go
@@ -76,7 +76,7 @@
 	}))
 	s.run(time.Minute - c.join - c.leave)
 	c.churnBytes = perNode(time.Minute)
-	quitter.Left()
+	quitter.FinishLeave()
 	s.run(5 * time.Second)
 	quitter.running = false
 
@@ -156,7 +156,7 @@
 
 // At the target's size a quiet node sends and receives no more for membership than it
 // did.
-func TestQuietBytesAtTheTargetAreBounded(t *testing.T) {
+func TestIdleTrafficOfLargeFleetIsBounded(t *testing.T) {
 	const nodes = 750
 	s := newSim(nodes, 1)
 	s.run(2 * time.Second)
--- a/policy/membership/fuzz_test.go
+++ b/policy/membership/fuzz_test.go
@@ -59,7 +59,7 @@
 // listing is the true VM list at a time.
 type listing struct {
 	at   time.Time
-	list []Listing
+	list []ListedVM
 }
 
 func (f *fleetModel) boot(v *vm) {
@@ -81,10 +81,10 @@
 
 // record keeps the VM list of this moment.
 func (f *fleetModel) record() {
-	var list []Listing
+	var list []ListedVM
 	for _, v := range f.vms {
 		if v.table != nil {
-			list = append(list, Listing{Name: v.name})
+			list = append(list, ListedVM{Name: v.name})
 		}
 	}
 	f.listed = append(f.listed, listing{f.now, list})
@@ -103,7 +103,7 @@
 		if f.noRefutation && c.GetNode() == v.name {
 			continue
 		}
-		if v.table.Apply(f.now, c) == Displaced {
+		if v.table.Apply(f.now, c) == DeclaredGone {
 			t.Fatalf("GoneIsTrue: %s runs and hears that it is gone", v.name)
 		}
 	}
@@ -114,7 +114,7 @@
 	if len(changes) > from.params.MaxChanges+1 {
 		panic("a message carries too many changes")
 	}
-	if news := from.About(about); news != nil {
+	if news := from.NonAliveChange(about); news != nil {
 		changes = append(changes, news)
 	}
 	return changes
@@ -126,7 +126,7 @@
 	request := f.message(from.table, target.ID())
 	to := f.at(target.PeerAddress)
 	if lost == 1 || to == nil || to.table == nil {
-		from.table.Unanswered(f.now, target.ID())
+		from.table.PingFailed(f.now, target.ID())
 		return
 	}
 	sender := from.table.Self().ID()
@@ -134,11 +134,11 @@
 	answer := f.message(to.table, sender)
 	if lost == 2 {
 		f.late = append(f.late, rumour{from: to.table.Self().ID(), address: to.address, to: from, changes: answer})
-		from.table.Unanswered(f.now, target.ID())
+		from.table.PingFailed(f.now, target.ID())
 		return
 	}
 	f.take(t, from, answer)
-	from.table.Answered(f.now, to.table.Self().ID(), target.PeerAddress)
+	from.table.PingAnswered(f.now, to.table.Self().ID(), target.PeerAddress)
 }
 
 func (f *fleetModel) receive(t *rapid.T, r rumour) {
@@ -147,7 +147,7 @@
 	}
 	f.take(t, r.to, r.changes)
 	if f.requestsCondemn {
-		r.to.table.Answered(f.now, r.from, r.address)
+		r.to.table.PingAnswered(f.now, r.from, r.address)
 	}
 }
 
@@ -176,7 +176,7 @@
 			seen = l
 		}
 	}
-	v.table.Listed(f.now, seen.list)
+	v.table.ApplyVMList(f.now, seen.list)
 }
 
 // check holds what must always be true.
@@ -220,7 +220,7 @@
 				if other == v || other.table == nil {
 					continue
 				}
-				f.take(t, v, other.table.All())
+				f.take(t, v, other.table.AllChanges())
 				f.ping(t, v, other.table.Self(), 0)
 			}
 		}
@@ -260,7 +260,7 @@
 		}
 		for _, v := range f.vms {
 			for _, other := range f.vms {
-				f.take(t, v, other.table.All())
+				f.take(t, v, other.table.AllChanges())
 			}
 		}
 		running := func(do func(*rapid.T, *vm)) func(*rapid.T) {
@@ -297,7 +297,7 @@
 			}),
 			"leave": running(func(t *rapid.T, v *vm) {
 				if v.table.Self().State == leaving {
-					v.table.Left()
+					v.table.FinishLeave()
 					if target, ok := v.table.NextTarget(); ok {
 						f.ping(t, v, target, 0)
 					}
@@ -314,7 +314,7 @@
 				f.boot(v)
 				for _, other := range f.vms {
 					if other != v && other.table != nil {
-						f.take(t, v, other.table.All())
+						f.take(t, v, other.table.AllChanges())
 						break
 					}
 				}
@@ -339,7 +339,7 @@
 // run with a fresh seed:
 //
 //	go test ./policy/membership -run LossAndReplacement -rapid.checks=200000 -rapid.seed=$RANDOM
-func TestMembershipUnderLossAndReplacement(t *testing.T) {
+func TestMembershipConvergesAfterLossAndReplacement(t *testing.T) {
 	rapid.Check(t, membershipLife(broken{}))
 }
 
--- a/policy/membership/list.go
+++ b/policy/membership/list.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Listing is one VM of the platform's list.
-type Listing struct {
+// ListedVM is one VM of the platform's list.
+type ListedVM struct {
 	Name        string
 	DataCentre  string
 	PeerAddress string
@@ -11,7 +11,7 @@
 	Leaving bool
 }
 
-// Listed takes in the platform's VM list. The list lags, so it never makes a
+// ApplyVMList takes in the platform's VM list. The list lags, so it never makes a
 // member alive or dead. It confirms one thing: a member that answers nobody and
 // whose VM the platform no longer lists is gone.
 //
@@ -21,7 +21,7 @@
 // this node has known for longer than the list lags: whatever moment the list
 // shows, they had started by then. A list that does not name this node itself is
 // too old to count.
-func (t *Table) Listed(now time.Time, list []Listing) {
+func (t *Table) ApplyVMList(now time.Time, list []ListedVM) {
 	listed := make(map[string]bool, len(list))
 	for _, vm := range list {
 		listed[vm.Name] = true
--- a/policy/membership/member.go
+++ b/policy/membership/member.go
@@ -89,12 +89,12 @@
 	MaxChanges int
 	// MaxMembers bounds the table. News of members beyond it is dropped.
 	MaxMembers int
-	// PingSet is the number of living members that a node pings in turn, 0 all. The
+	// PingSetSize is the number of living members that a node pings in turn, 0 all. The
 	// connections that pings keep open then do not grow with the fleet.
-	PingSet int
-	// Retransmit times the base-10 logarithm of the fleet's size, rounded up,
+	PingSetSize int
+	// RetransmitFactor times the base-10 logarithm of the fleet's size, rounded up,
 	// is how often a node passes on one change.
-	Retransmit int
+	RetransmitFactor int
 }
 
 // DefaultParams suit fleets from 2 to 1,000 nodes.
@@ -105,8 +105,8 @@
 		ListLag:        2 * time.Minute,
 		MaxChanges:     64,
 		MaxMembers:     4096,
-		PingSet:        64,
-		Retransmit:     4,
+		PingSetSize:        64,
+		RetransmitFactor:     4,
 	}
 }
 
--- a/policy/membership/news.go
+++ b/policy/membership/news.go
@@ -18,9 +18,9 @@
 	// Refuted called this node suspected or dead; the node raised its
 	// incarnation and says so.
 	Refuted
-	// Displaced called this boot of this node gone. That is final, so the
+	// DeclaredGone called this boot of this node gone. That is final, so the
 	// node has to Rejoin with a new boot.
-	Displaced
+	DeclaredGone
 )
 
 // Apply takes in one change that a message carried.
@@ -108,7 +108,7 @@
 	case t.self.State == gone:
 		return Ignored
 	case m.State == gone:
-		return Displaced
+		return DeclaredGone
 	case m.Incarnation == math.MaxUint64:
 		// No node gets there by refuting reports; a faulty peer that sent it
 		// would make the next incarnation wrap to 0, and this node look old.
@@ -174,8 +174,8 @@
 	}
 }
 
-// Heard notes the configuration version that a member sent itself.
-func (t *Table) Heard(id ID, version uint64) {
+// UpdateConfigVersion notes the configuration version that a member sent itself.
+func (t *Table) UpdateConfigVersion(id ID, version uint64) {
 	if r := t.records[id]; r != nil && version > r.ConfigVersion {
 		r.ConfigVersion = version
 	}
--- a/policy/membership/ping.go
+++ b/policy/membership/ping.go
@@ -41,8 +41,8 @@
 	r.urgent = append(r.urgent, id)
 }
 
-// Urge has a member pinged next: a call to it failed.
-func (t *Table) Urge(name string) {
+// PrioritisePing has a member pinged next: a call to it failed.
+func (t *Table) PrioritisePing(name string) {
 	for _, m := range t.ByName(name) {
 		if m.ID() != t.self.ID() {
 			t.rounds.urge(m.ID())
@@ -50,8 +50,8 @@
 	}
 }
 
-// Urgent reports whether the next target was urged.
-func (t *Table) Urgent() bool {
+// HasPriorityPing reports whether the next target was urged.
+func (t *Table) HasPriorityPing() bool {
 	return len(t.rounds.urgent) > 0
 }
 
@@ -110,7 +110,7 @@
 // from the names, so that it stays while members come and go, and differs from node
 // to node, so that news crosses the fleet in a few steps.
 func (t *Table) pingSet(ids []ID) []ID {
-	if t.params.PingSet <= 0 || len(ids) <= t.params.PingSet {
+	if t.params.PingSetSize <= 0 || len(ids) <= t.params.PingSetSize {
 		return ids
 	}
 	scores := make([]uint64, len(ids))
@@ -118,7 +118,7 @@
 		scores[i] = t.score(id)
 	}
 	ranked := slices.Sorted(slices.Values(scores))
-	least := ranked[len(ranked)-t.params.PingSet]
+	least := ranked[len(ranked)-t.params.PingSetSize]
 	var chosen []ID
 	for i, id := range ids {
 		if scores[i] >= least {
@@ -176,12 +176,12 @@
 	return helpers
 }
 
-// Answered notes that a boot answered a ping at an address. One process holds
+// PingAnswered notes that a boot answered a ping at an address. One process holds
 // a name and an address at a time, so any other boot known there is gone.
 //
 // That this comes from an answer matters: a late request of the older boot, or
 // third-hand news, must never condemn the newer one.
-func (t *Table) Answered(now time.Time, id ID, address string) {
+func (t *Table) PingAnswered(now time.Time, id ID, address string) {
 	if known := t.records[id]; known != nil {
 		if known.State == gone {
 			return
@@ -199,9 +199,9 @@
 	}
 }
 
-// Unanswered notes that neither this node nor its helpers got an answer from
+// PingFailed notes that neither this node nor its helpers got an answer from
 // the member.
-func (t *Table) Unanswered(now time.Time, id ID) {
+func (t *Table) PingFailed(now time.Time, id ID) {
 	r := t.records[id]
 	switch {
 	case r == nil:
--- a/policy/membership/pingset_test.go
+++ b/policy/membership/pingset_test.go
@@ -24,7 +24,7 @@
 		others := slices.Delete(slices.Clone(ids), i, i+1)
 		table := &Table{self: Member{Name: self.Name}, params: params}
 		set := table.pingSet(others)
-		c.Assert(set, qt.HasLen, params.PingSet)
+		c.Assert(set, qt.HasLen, params.PingSetSize)
 		for _, id := range set {
 			pingedBy[id]++
 		}
--- a/policy/membership/queue.go
+++ b/policy/membership/queue.go
@@ -66,10 +66,10 @@
 	return changes
 }
 
-// Unsent takes back that changes were sent, for a message that got no answer.
+// MarkUnsent takes back that changes were sent, for a message that got no answer.
 // Half of all messages are lost when a partition starts, which is when most
 // news has to be passed on.
-func (t *Table) Unsent(changes []*pb.MemberChange) {
+func (t *Table) MarkUnsent(changes []*pb.MemberChange) {
 	for _, c := range changes {
 		id := ID{c.GetNode(), c.GetBoot()}
 		if sent := t.queue.sent[id]; sent > 0 {
@@ -80,12 +80,12 @@
 
 func (t *Table) retransmissions() int {
 	n := float64(len(t.records) + 2)
-	return int(math.Ceil(float64(t.params.Retransmit) * math.Log10(n)))
+	return int(math.Ceil(float64(t.params.RetransmitFactor) * math.Log10(n)))
 }
 
-// All returns the whole table, gone boots included, for a node that joins or a
+// AllChanges returns the whole table, gone boots included, for a node that joins or a
 // member that was cut off. It is bounded by Params.MaxMembers.
-func (t *Table) All() []*pb.MemberChange {
+func (t *Table) AllChanges() []*pb.MemberChange {
 	ids := make([]ID, 0, len(t.records))
 	for id := range t.records {
 		ids = append(ids, id)
@@ -98,9 +98,9 @@
 	return changes
 }
 
-// About returns the news that a member has to hear of itself: nil unless it is
+// NonAliveChange returns the news that a member has to hear of itself: nil unless it is
 // known here as anything but alive, so that it can refute that or rejoin.
-func (t *Table) About(id ID) *pb.MemberChange {
+func (t *Table) NonAliveChange(id ID) *pb.MemberChange {
 	r := t.records[id]
 	if r == nil || r.State == alive {
 		return nil
@@ -108,9 +108,9 @@
 	return r.Change()
 }
 
-// NewsOf returns what is known of every boot of a node, unless it is alive. A
+// NonAliveChanges returns what is known of every boot of a node, unless it is alive. A
 // member that could not reach the node may have missed that it is gone.
-func (t *Table) NewsOf(name string) []*pb.MemberChange {
+func (t *Table) NonAliveChanges(name string) []*pb.MemberChange {
 	var news []*pb.MemberChange
 	for _, r := range t.matching(func(r *record) bool { return r.Name == name && r.State != alive }) {
 		news = append(news, r.Change())
--- a/policy/membership/sim_test.go
+++ b/policy/membership/sim_test.go
@@ -157,13 +157,13 @@
 func (s *sim) ping(n *simNode, target Member, done func(bool)) {
 	news := n.Changes()
 	changes := append(news[:len(news):len(news)], n.Self().Change())
-	if about := n.About(target.ID()); about != nil {
+	if about := n.NonAliveChange(target.ID()); about != nil {
 		changes = append(changes, about)
 	}
 	other := s.send(n, target.PeerAddress, &pb.GossipRequest{Envelope: envelopeOf(n, changes)})
 	if other == nil {
 		s.after(simTimeout, func() {
-			n.Unsent(news)
+			n.MarkUnsent(news)
 			done(false)
 		})
 		return
@@ -172,14 +172,14 @@
 		sender := n.Self().ID()
 		s.take(other, changes)
 		answer := other.Changes()
-		if about := other.About(sender); about != nil {
+		if about := other.NonAliveChange(sender); about != nil {
 			answer = append(answer, about)
 		}
 		s.send(other, n.self.PeerAddress, &pb.GossipResponse{Envelope: envelopeOf(other, answer)})
 		id := other.Self().ID()
 		s.after(simDelay, func() {
 			s.take(n, answer)
-			n.Answered(s.now, id, target.PeerAddress)
+			n.PingAnswered(s.now, id, target.PeerAddress)
 			if target.State == dead && id == target.ID() {
 				s.join(n, other)
 			}
@@ -190,7 +190,7 @@
 
 // join takes over the whole table of another member.
 func (s *sim) join(n, other *simNode) {
-	all := other.All()
+	all := other.AllChanges()
 	s.send(other, n.self.PeerAddress, &pb.GossipResponse{Envelope: envelopeOf(other, all)})
 	s.take(n, all)
 }
@@ -204,7 +204,7 @@
 		}
 		s.ping(via, target, func(ok bool) {
 			answered = answered || ok
-			if news := via.NewsOf(target.Name); !ok && n.running {
+			if news := via.NonAliveChanges(target.Name); !ok && n.running {
 				s.send(via, n.self.PeerAddress, &pb.GossipResponse{Envelope: envelopeOf(via, news)})
 				s.take(n, news)
 			}
@@ -212,7 +212,7 @@
 	}
 	s.after(2*simTimeout, func() {
 		if !answered && n.running {
-			n.Unanswered(s.now, target.ID())
+			n.PingFailed(s.now, target.ID())
 		}
 	})
 }
@@ -232,7 +232,7 @@
 
 func (s *sim) take(n *simNode, changes []*pb.MemberChange) {
 	for _, c := range changes {
-		if n.Apply(s.now, c) == Displaced {
+		if n.Apply(s.now, c) == DeclaredGone {
 			n.Rejoin(s.rng.Uint64())
 		}
 	}
--- a/policy/membership/table.go
+++ b/policy/membership/table.go
@@ -123,9 +123,9 @@
 	t.announce(leaving)
 }
 
-// Left announces that this node has finished its work and ends. It is the last
+// FinishLeave announces that this node has finished its work and ends. It is the last
 // thing that a node says.
-func (t *Table) Left() {
+func (t *Table) FinishLeave() {
 	t.announce(gone)
 }
 
--- a/policy/ownership/claims.go
+++ b/policy/ownership/claims.go
@@ -8,19 +8,19 @@
 	Boot uint64
 }
 
-// Rival is another node of a replica's data centre that is not confirmed gone.
-type Rival struct {
+// Candidate is another node of a replica's data centre that is not confirmed gone.
+type Candidate struct {
 	Node
 	// LeavingFor is how long ago this node heard that it shuts down; 0 when it
 	// does not.
 	LeavingFor time.Duration
 }
 
-// Order is the ranking for one replica around this node.
-type Order struct {
-	// Above are the rivals that rank higher, Below those that rank lower, both
+// Ranking is the ranking for one replica around this node.
+type Ranking struct {
+	// Higher are the rivals that rank higher, Lower those that rank lower, both
 	// best first.
-	Above, Below []Rival
+	Higher, Lower []Candidate
 }
 
 // ClaimParams are the times of Claims.
@@ -100,7 +100,7 @@
 // the replica, or that it gives a consent back.
 type Claim struct {
 	Replica string
-	By      Node
+	Claimant      Node
 	// Round is the number of the message, see NextRound; 0 when the node counts
 	// none.
 	Round uint64
@@ -118,7 +118,7 @@
 }
 
 // NextRound begins a round of messages and returns its number, which goes with
-// each of them. Call Ask and Release for a replica in different rounds.
+// each of them. Call BeginClaim and Release for a replica in different rounds.
 func (c *Claims) NextRound() uint64 {
 	c.round++
 	return c.round
@@ -126,15 +126,15 @@
 
 // MayUse reports whether this node may send to the replica now. settle is the
 // longest time that one request takes there.
-func (c *Claims) MayUse(now time.Time, replica string, order Order, settle time.Duration) bool {
-	if !c.vacant(now, replica, order.Above, settle) {
+func (c *Claims) MayUse(now time.Time, replica string, order Ranking, settle time.Duration) bool {
+	if !c.vacant(now, replica, order.Higher, settle) {
 		return false
 	}
 	// Promises to nodes that are gone by now are left.
 	if c.promised(now, replica, func(n Node) bool { return isAbove(order, n) }) {
 		return false
 	}
-	if len(c.Missing(now, replica, order, settle)) > 0 {
+	if len(c.MissingConsents(now, replica, order, settle)) > 0 {
 		return false
 	}
 	c.used[replica] = now
@@ -142,7 +142,7 @@
 }
 
 // vacant reports whether every node ranked above has stopped using the replica.
-func (c *Claims) vacant(now time.Time, replica string, above []Rival, settle time.Duration) bool {
+func (c *Claims) vacant(now time.Time, replica string, above []Candidate, settle time.Duration) bool {
 	for _, rival := range above {
 		if rival.LeavingFor > 0 && rival.LeavingFor >= settle {
 			continue
@@ -167,8 +167,8 @@
 }
 
 // isAbove reports whether a node ranks above this one.
-func isAbove(order Order, node Node) bool {
-	for _, rival := range order.Above {
+func isAbove(order Ranking, node Node) bool {
+	for _, rival := range order.Higher {
 		if rival.Node == node {
 			return true
 		}
@@ -178,9 +178,9 @@
 
 // granters are the nodes whose consent this node needs: the next few below, and
 // all asked before that are not confirmed gone.
-func (c *Claims) granters(replica string, order Order) []Node {
+func (c *Claims) granters(replica string, order Ranking) []Node {
 	var nodes []Node
-	for i, rival := range order.Below {
+	for i, rival := range order.Lower {
 		_, asked := c.held[replica][rival.Node]
 		if i < c.params.MaxGranters || asked {
 			nodes = append(nodes, rival.Node)
@@ -189,11 +189,11 @@
 	return nodes
 }
 
-// Ask returns the nodes to ask for consent now: none while a node above may use
+// BeginClaim returns the nodes to ask for consent now: none while a node above may use
 // the replica. Send the question after this call, and report grants with the
 // time of this call.
-func (c *Claims) Ask(now time.Time, replica string, order Order, settle time.Duration) []Node {
-	if !c.vacant(now, replica, order.Above, settle) {
+func (c *Claims) BeginClaim(now time.Time, replica string, order Ranking, settle time.Duration) []Node {
+	if !c.vacant(now, replica, order.Higher, settle) {
 		return nil
 	}
 	asked := c.granters(replica, order)
@@ -207,10 +207,10 @@
 	return asked
 }
 
-// Missing returns the nodes whose consent this node lacks for a replica whose
+// MissingConsents returns the nodes whose consent this node lacks for a replica whose
 // turn it is to use: while there are any, the replica rests.
-func (c *Claims) Missing(now time.Time, replica string, order Order, settle time.Duration) []Node {
-	if !c.vacant(now, replica, order.Above, settle) {
+func (c *Claims) MissingConsents(now time.Time, replica string, order Ranking, settle time.Duration) []Node {
+	if !c.vacant(now, replica, order.Higher, settle) {
 		return nil
 	}
 	var missing []Node
@@ -222,10 +222,10 @@
 	return missing
 }
 
-// Granted notes the consent of a node to a claim sent at that time. The answer
+// RecordGrant notes the consent of a node to a claim sent at that time. The answer
 // to a claim that was given back since comes too late: the granter may have
 // consented to another node on the release.
-func (c *Claims) Granted(sent time.Time, replica string, by Node) {
+func (c *Claims) RecordGrant(sent time.Time, replica string, by Node) {
 	if !sent.After(c.ceded[replica]) {
 		return
 	}
@@ -240,21 +240,21 @@
 //
 // Consent goes to one claimant at a time: two newcomers that do not know each
 // other both ask the nodes that were there before them.
-func (c *Claims) Grant(now time.Time, claim Claim, order Order, inFlight int, settle time.Duration) bool {
+func (c *Claims) Grant(now time.Time, claim Claim, order Ranking, inFlight int, settle time.Duration) bool {
 	c.prune(now, claim.Replica, order)
-	known, ok := c.given[claim.Replica][claim.By]
+	known, ok := c.given[claim.Replica][claim.Claimant]
 	if claim.Round <= known.released && claim.Round > 0 {
 		// It was sent before the release and overtaken by it.
 		return false
 	}
 	if ok {
 		known.asked = now
-		c.given[claim.Replica][claim.By] = known
+		c.given[claim.Replica][claim.Claimant] = known
 	}
 	if !c.stopped(now, claim.Replica, inFlight) {
 		return false
 	}
-	if !isAbove(order, claim.By) || c.promised(now, claim.Replica, func(n Node) bool { return n == claim.By }) {
+	if !isAbove(order, claim.Claimant) || c.promised(now, claim.Replica, func(n Node) bool { return n == claim.Claimant }) {
 		return false
 	}
 	known.lapses = now.Add(c.params.Lease + c.params.Margin + settle)
@@ -269,7 +269,7 @@
 	if c.given[claim.Replica] == nil {
 		c.given[claim.Replica] = make(map[Node]grant)
 	}
-	c.given[claim.Replica][claim.By] = g
+	c.given[claim.Replica][claim.Claimant] = g
 }
 
 // stopped reports whether nothing of this node runs or can still start at a
@@ -279,16 +279,16 @@
 	return inFlight == 0 && now.Sub(c.used[replica]) >= c.params.Margin
 }
 
-// Restart drops all claims and grants: the node goes on as a new boot, and others
+// Reset drops all claims and grants: the node goes on as a new boot, and others
 // may hold what the old one held. What it uses stays known, so that it consents to
 // nobody while its own last request may be running.
-func (c *Claims) Restart() {
+func (c *Claims) Reset() {
 	c.held = make(map[string]map[Node]consent)
 	c.given = make(map[string]map[Node]grant)
 }
 
 // prune drops lapsed grants to nodes that are no rivals any more.
-func (c *Claims) prune(now time.Time, replica string, order Order) {
+func (c *Claims) prune(now time.Time, replica string, order Ranking) {
 	for node, g := range c.given[replica] {
 		if !isAbove(order, node) && !now.Before(g.lapses) {
 			delete(c.given[replica], node)
--- a/policy/ownership/claims_test.go
+++ b/policy/ownership/claims_test.go
@@ -115,20 +115,20 @@
 	w.nodes = append(w.nodes, n)
 }
 
-func (w *claimWorld) order(n *rivalNode) Order {
+func (w *claimWorld) order(n *rivalNode) Ranking {
 	var names []string
 	for other := range n.knows {
 		names = append(names, other.Name)
 	}
-	var order Order
-	list, seen := &order.Above, make(map[string]bool)
+	var order Ranking
+	list, seen := &order.Higher, make(map[string]bool)
 	for _, name := range Rank(cold, names) {
 		if seen[name] {
 			continue
 		}
 		seen[name] = true
 		if name == n.Name {
-			list = &order.Below
+			list = &order.Lower
 			continue
 		}
 		for _, other := range w.nodes {
@@ -138,7 +138,7 @@
 			if w.deadIsGone && n.dead[other.Node] {
 				continue
 			}
-			r := Rival{Node: other.Node}
+			r := Candidate{Node: other.Node}
 			if since, ok := n.leaves[other.Node]; ok {
 				r.LeavingFor = w.now.Sub(since)
 			}
@@ -150,7 +150,7 @@
 
 func (w *claimWorld) ask(n *rivalNode) {
 	round := n.claims.NextRound()
-	w.send(n, n.claims.Ask(w.now, cold, w.order(n), settle), message{sent: w.now, round: round})
+	w.send(n, n.claims.BeginClaim(w.now, cold, w.order(n), settle), message{sent: w.now, round: round})
 }
 
 // release gives consents back.
@@ -181,17 +181,17 @@
 	if !m.to.running {
 		return
 	}
-	claim := Claim{Replica: cold, By: m.from.Node, Round: m.round}
+	claim := Claim{Replica: cold, Claimant: m.from.Node, Round: m.round}
 	answer := message{from: m.to, to: m.from, sent: m.sent, round: m.round, release: m.release, answer: true}
 	switch {
 	case m.release && m.answer:
-		m.to.claims.Released(cold, m.from.Node, m.round)
+		m.to.claims.RecordRelease(cold, m.from.Node, m.round)
 		return
 	case m.release:
 		if w.releaseAll {
 			claim.Round = math.MaxUint64
 		}
-		m.to.claims.TakeBack(w.now, claim, w.order(m.to))
+		m.to.claims.EndGrant(w.now, claim, w.order(m.to))
 		w.messages = append(w.messages, answer)
 		return
 	case m.answer:
@@ -203,7 +203,7 @@
 			sent = w.now
 		}
 		if m.granted {
-			m.to.claims.Granted(sent, cold, m.from.Node)
+			m.to.claims.RecordGrant(sent, cold, m.from.Node)
 		}
 		return
 	}
@@ -374,8 +374,8 @@
 // shard would be missing from every answer. Whatever the order of events, only
 // one node has requests there. A long run with a fresh seed:
 //
-//	go test ./policy/ownership -run ThroughOneNode -rapid.checks=200000 -rapid.seed=$RANDOM
-func TestColdReplicaIsUsedThroughOneNode(t *testing.T) {
+//	go test ./policy/ownership -run ByOneNodeAtATime -rapid.checks=200000 -rapid.seed=$RANDOM
+func TestColdReplicaIsUsedByOneNodeAtATime(t *testing.T) {
 	moves, releases := 0, 0
 	rapid.Check(t, claimsLife(variant{}, &moves, &releases))
 	t.Logf("the right moved %d times, %d consents were given back", moves, releases)
--- a/policy/ownership/ownership.go
+++ b/policy/ownership/ownership.go
@@ -45,14 +45,14 @@
 	return d.Sum64()
 }
 
-// Share is the number of connections that each owner of a replica may open.
+// ConnectionShare is the number of connections that each owner of a replica may open.
 //
 // Owners disagree for seconds when one of them changes: the old owners and one
 // new one then hold connections at once. Dividing by one more than the owners
 // keeps their sum within the replica's limit during one change. A replica with
 // fewer connections than that gives each owner none; the sheet's check refuses
 // such a sheet.
-func Share(connections, owners int) int {
+func ConnectionShare(connections, owners int) int {
 	if connections <= 0 || owners < 0 {
 		return 0
 	}
--- a/policy/ownership/ownership_test.go
+++ b/policy/ownership/ownership_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestOneNodeMovesOnlyItsShare(t *testing.T) {
+func TestRemovingANodeMovesOnlyItsReplicas(t *testing.T) {
 	c := qt.New(t)
 	for _, size := range fleetSizes[1:] {
 		nodes := nodesNamed(size.nodes)
@@ -68,7 +68,7 @@
 // A node dies. For seconds one part of the fleet still knows it and another does
 // not, so the old owners and the new one hold connections at once. Their sum has
 // to stay within what the backend server accepts.
-func TestSharesStayWithinTheLimitWhileViewsDiffer(t *testing.T) {
+func TestConnectionSharesStayWithinTheLimitWhenViewsDiffer(t *testing.T) {
 	c := qt.New(t)
 	nodes := nodesNamed(8)
 	for _, limit := range []int{25, 30, 50, 110} {
@@ -81,7 +81,7 @@
 						holders[name] = true
 					}
 				}
-				sum := len(holders) * Share(limit, owners)
+				sum := len(holders) * ConnectionShare(limit, owners)
 				if sum > limit {
 					c.Fatalf("%s: %d owners hold %d connections of %d", replica, len(holders), sum, limit)
 				}
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestGroupsAreEvenAndMoveLittle(t *testing.T) {
+func TestGroupsAreBalancedAndStable(t *testing.T) {
 	c := qt.New(t)
 	for _, tc := range []struct{ nodes, size, groups, mostMoved int }{
 		{8, 0, 1, 0},
--- a/policy/ownership/release.go
+++ b/policy/ownership/release.go
@@ -12,8 +12,8 @@
 // the consents count no more, and neither do answers to earlier questions, so it
 // does not matter whether the release arrives. Send it with the number of a round
 // of its own, again in each round until Released notes an answer.
-func (c *Claims) Release(now time.Time, replica string, order Order, inFlight int, settle time.Duration) []Node {
-	if c.vacant(now, replica, order.Above, settle) || !c.stopped(now, replica, inFlight) {
+func (c *Claims) Release(now time.Time, replica string, order Ranking, inFlight int, settle time.Duration) []Node {
+	if c.vacant(now, replica, order.Higher, settle) || !c.stopped(now, replica, inFlight) {
 		return nil
 	}
 	var nodes []Node
@@ -30,14 +30,14 @@
 	return nodes
 }
 
-// Released notes that a node has answered the release of a round.
-func (c *Claims) Released(replica string, by Node, round uint64) {
+// RecordRelease notes that a node has answered the release of a round.
+func (c *Claims) RecordRelease(replica string, by Node, round uint64) {
 	if held, ok := c.held[replica][by]; ok && held.asked < round {
 		c.held[replica][by] = consent{until: held.until}
 	}
 }
 
-// TakeBack ends this node's consent to a claimant that gives it back. Only the
+// EndGrant ends this node's consent to a claimant that gives it back. Only the
 // boot that was granted the claim can, and only for claims of lower rounds: a
 // release that arrives late or twice must not end the consent to a newer claim,
 // by which the claimant may be sending. A claim of a lower round that arrives
@@ -45,9 +45,9 @@
 //
 // The entry stays, lapsed: the claimant has asked this node, so it needs a new
 // consent before it uses the replica again.
-func (c *Claims) TakeBack(now time.Time, release Claim, order Order) {
-	known, ok := c.given[release.Replica][release.By]
-	if release.Round <= known.round || !ok && !isAbove(order, release.By) {
+func (c *Claims) EndGrant(now time.Time, release Claim, order Ranking) {
+	known, ok := c.given[release.Replica][release.Claimant]
+	if release.Round <= known.round || !ok && !isAbove(order, release.Claimant) {
 		return
 	}
 	known.released = max(known.released, release.Round)
