--- a/policy/membership/member.go
+++ b/policy/membership/member.go
@@ -100,13 +100,13 @@
 // DefaultParams suit fleets from 2 to 1,000 nodes.
 func DefaultParams() Params {
 	return Params{
-		SuspectTimeout: 800 * time.Millisecond,
-		GoneRetention:  10 * time.Minute,
-		ListLag:        2 * time.Minute,
-		MaxChanges:     64,
-		MaxMembers:     4096,
-		PingSetSize:        64,
-		RetransmitFactor:     4,
+		SuspectTimeout:   800 * time.Millisecond,
+		GoneRetention:    10 * time.Minute,
+		ListLag:          2 * time.Minute,
+		MaxChanges:       64,
+		MaxMembers:       4096,
+		PingSetSize:      64,
+		RetransmitFactor: 4,
 	}
 }
 
--- a/policy/ownership/claims.go
+++ b/policy/ownership/claims.go
@@ -99,8 +99,8 @@
 // Claim names what one message of a node says about one replica: that it claims
 // the replica, or that it gives a consent back.
 type Claim struct {
-	Replica string
-	Claimant      Node
+	Replica  string
+	Claimant Node
 	// Round is the number of the message, see NextRound; 0 when the node counts
 	// none.
 	Round uint64
