--- a/node/forward/answer.go
+++ b/node/forward/answer.go
@@ -79,7 +79,7 @@
 			continue
 		}
 		s.mu.Lock()
-		wait = max(wait, 2*s.set.Usual(q.route.Name))
+		wait = max(wait, 2*s.set.BaselineLatency(q.route.Name))
 		s.mu.Unlock()
 	}
 	return min(wait+rand.N(wait), maxRetryAfter)
--- a/node/forward/attempt.go
+++ b/node/forward/attempt.go
@@ -53,15 +53,15 @@
 	switch {
 	case st == nil:
 		denied = deniedNoReplica
-	case extra && !s.mayRepeat(now, q.f.opts.Source.FleetSize(), request.Spare || q.query.Dispensable(i)):
+	case extra && !s.mayRepeat(now, q.f.opts.Source.FleetSize(), request.Optional || q.query.Dispensable(i)):
 		denied = deniedNoBudget
 	}
 	if denied != "" {
 		s.mu.Unlock()
-		q.denials = append(q.denials, denial{shard: i, at: q.since(), why: denied, hedge: request.Spare})
+		q.denials = append(q.denials, denial{shard: i, at: q.since(), why: denied, hedge: request.Optional})
 		return false
 	}
-	handle := s.set.Sent(now, st, request)
+	handle := s.set.RecordSent(now, st, request)
 	replica := st.Replica
 	s.mu.Unlock()
 	at := q.since()
@@ -71,7 +71,7 @@
 		q.query.Sent(i, at)
 	}
 	q.story = append(q.story, step{
-		shard: i, replica: replica, at: at, hedge: request.Spare, extra: extra,
+		shard: i, replica: replica, at: at, hedge: request.Optional, extra: extra,
 		state: st, handle: handle,
 	})
 	return true
@@ -100,7 +100,7 @@
 		at := &q.story[i]
 		s := q.services[at.shard]
 		s.mu.Lock()
-		s.set.Unsent(at.state, at.handle)
+		s.set.UndoSent(at.state, at.handle)
 		s.mu.Unlock()
 	}
 	q.story = nil
@@ -133,7 +133,7 @@
 // mayRepeat takes one request out of the service's budget. s.mu is held.
 func (s *service) mayRepeat(now time.Time, size float64, spare bool) bool {
 	if spare {
-		return s.budget.TakeSpare(now, size)
+		return s.budget.TakeOptional(now, size)
 	}
 	return s.budget.Take(now, size)
 }
@@ -142,17 +142,17 @@
 func (s *service) spareUsed(size float64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.SpareUsed(time.Now(), size)
+	return s.budget.OptionalUsed(time.Now(), size)
 }
 
 func (q *run) pickFor(i int, hedge bool, size float64) upstream.Request {
 	r := upstream.Request{
-		Class:           q.route.Name,
-		DataCentre:      q.f.opts.DataCentre,
-		ConnectionsEach: assumedConnections,
-		ColdPerSecond:   -1,
-		Spare:           hedge,
-		OutOfReach:      q.outOfReach,
+		Class:                 q.route.Name,
+		DataCentre:            q.f.opts.DataCentre,
+		MaxInFlightPerReplica: assumedConnections,
+		ColdPerSecond:         -1,
+		Optional:              hedge,
+		Unreachable:           q.outOfReach,
 	}
 	if q.attempts(i) > 0 {
 		r.Tried = func(id string) bool {
@@ -161,7 +161,7 @@
 		}
 	}
 	spec := q.view.Index.Service(q.names[i])
-	r.ConnectionsEach = connectionShare(spec, size)
+	r.MaxInFlightPerReplica = connectionShare(spec, size)
 	if spec != nil && spec.ColdPerSecond > 0 {
 		r.ColdPerSecond = spec.ColdPerSecond / (size + 1)
 	}
@@ -199,7 +199,7 @@
 func resultOf(reply *backend.ForwardReply) upstream.Result {
 	switch {
 	case reply.Notes.OtherReplica:
-		return upstream.Elsewhere
+		return upstream.WrongReplica
 	case reply.Notes.NotRun:
 		return upstream.Refused
 	case good(reply):
@@ -217,7 +217,7 @@
 	if reply.Evidence == pb.Evidence_EVIDENCE_NOT_RUN {
 		return upstream.Unreachable
 	}
-	return upstream.Broken
+	return upstream.ConnectionLost
 }
 
 // good reports whether a reply is a complete and genuine success.
--- a/node/forward/batch.go
+++ b/node/forward/batch.go
@@ -155,7 +155,7 @@
 	at.via = ""
 	s := q.services[at.shard]
 	s.mu.Lock()
-	at.handle = s.set.Sent(time.Now(), at.state, q.pickFor(at.shard, at.hedge, q.f.opts.Source.FleetSize()))
+	at.handle = s.set.RecordSent(time.Now(), at.state, q.pickFor(at.shard, at.hedge, q.f.opts.Source.FleetSize()))
 	s.mu.Unlock()
 	q.launch(number)
 }
--- a/node/forward/forward.go
+++ b/node/forward/forward.go
@@ -144,7 +144,7 @@
 type service struct {
 	// mu guards the fields below.
 	mu     sync.Mutex
-	set    *upstream.Set
+	set    *upstream.Balancer
 	budget *retrybudget.Budget
 	// replicas that the set was made from.
 	replicas []*registry.Replica
@@ -157,7 +157,7 @@
 	s := f.services[name]
 	if s == nil {
 		s = &service{
-			set:    upstream.NewSet(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+			set:    upstream.NewBalancer(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 			budget: retrybudget.New(f.opts.Extra, time.Now()),
 		}
 		f.services[name] = s
@@ -211,7 +211,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before, s.replicas = s.replicas, replicas
-	s.set.Keep(replicas)
+	s.set.SetReplicas(replicas)
 	return before
 }
 
--- a/node/forward/reach.go
+++ b/node/forward/reach.go
@@ -38,9 +38,9 @@
 	backend *backend.Client
 	log     logrus.FieldLogger
 	// judged is what requests go by.
-	judged atomic.Pointer[reach.Judgement]
+	judged atomic.Pointer[reach.Reachability]
 	// waiting returns the attempts that have been out for longer than an age.
-	waiting func(now time.Time, age time.Duration) []reach.Waiting
+	waiting func(now time.Time, age time.Duration) []reach.PendingAttempt
 	// last is when it was judged last; only run uses it.
 	last time.Time
 
@@ -53,7 +53,7 @@
 
 func newReachability(own string, client *backend.Client, log logrus.FieldLogger) *reachability {
 	r := &reachability{backend: client, log: log, tracker: reach.New(own)}
-	r.judged.Store(&reach.Judgement{})
+	r.judged.Store(&reach.Reachability{})
 	return r
 }
 
@@ -70,7 +70,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.replicas, r.view = replicas, v
-	r.tracker.Keep(time.Now(), counts)
+	r.tracker.SetDataCentres(time.Now(), counts)
 }
 
 // note takes the end of an attempt.
@@ -84,16 +84,16 @@
 	defer r.mu.Unlock()
 	switch {
 	case answered:
-		r.tracker.Answered(time.Now(), replica.DataCentre)
+		r.tracker.RecordAnswer(time.Now(), replica.DataCentre)
 	case abandoned && reply.Took < silentAfter:
 		// It may have been about to answer.
 	default:
-		r.tracker.Silent(replica.DataCentre, replica.ID)
+		r.tracker.RecordNoAnswer(replica.DataCentre, replica.ID)
 	}
 }
 
 // out returns the data centres that are out of reach.
-func (r *reachability) out() map[string]bool { return r.judged.Load().Out }
+func (r *reachability) out() map[string]bool { return r.judged.Load().Unreachable }
 
 // run judges until ctx ends.
 func (r *reachability) run(ctx context.Context) {
@@ -127,16 +127,16 @@
 	}
 	waiting := r.waiting(now, silentAfter)
 	r.mu.Lock()
-	next := r.tracker.Judge(now, waiting, r.sufficient)
+	next := r.tracker.Evaluate(now, waiting, r.sufficient)
 	var probes []*registry.Replica
 	for _, name := range next.Probe {
 		probes = append(probes, sample(r.replicas[name], probesEach)...)
 	}
 	r.mu.Unlock()
 	previous := r.judged.Swap(&next)
-	if previous.Isolated != next.Isolated || !maps.Equal(previous.Out, next.Out) {
+	if previous.Isolated != next.Isolated || !maps.Equal(previous.Unreachable, next.Unreachable) {
 		r.log.WithFields(logrus.Fields{
-			"out_of_reach": strings.Join(slices.Sorted(maps.Keys(next.Out)), ","), "isolated": next.Isolated,
+			"out_of_reach": strings.Join(slices.Sorted(maps.Keys(next.Unreachable)), ","), "isolated": next.Isolated,
 		}).Warn("the data centres in reach have changed")
 	}
 	return probes
@@ -172,22 +172,22 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if reached {
-		r.tracker.Answered(time.Now(), replica.DataCentre)
+		r.tracker.RecordAnswer(time.Now(), replica.DataCentre)
 	} else {
-		r.tracker.Silent(replica.DataCentre, replica.ID)
+		r.tracker.RecordNoAnswer(replica.DataCentre, replica.ID)
 	}
 }
 
 // waiting returns the attempts of all services that have been out for longer than age.
-func (f *Forwarder) waiting(now time.Time, age time.Duration) []reach.Waiting {
+func (f *Forwarder) waiting(now time.Time, age time.Duration) []reach.PendingAttempt {
 	f.mu.Lock()
 	services := slices.Collect(maps.Values(f.services))
 	f.mu.Unlock()
-	var list []reach.Waiting
+	var list []reach.PendingAttempt
 	for _, s := range services {
 		s.mu.Lock()
-		s.set.Waiting(now, age, func(r *registry.Replica) {
-			list = append(list, reach.Waiting{DataCentre: r.DataCentre, Replica: r.ID})
+		s.set.ForEachPending(now, age, func(r *registry.Replica) {
+			list = append(list, reach.PendingAttempt{DataCentre: r.DataCentre, Replica: r.ID})
 		})
 		s.mu.Unlock()
 	}
--- a/node/forward/run.go
+++ b/node/forward/run.go
@@ -131,7 +131,7 @@
 		s := q.f.service(name)
 		q.services[i] = s
 		s.mu.Lock()
-		s.budget.Request(now)
+		s.budget.RecordRequest(now)
 		s.mu.Unlock()
 		if !q.reserve(i, false) {
 			q.query.GiveUp(i)
--- a/node/owner/batch.go
+++ b/node/owner/batch.go
@@ -23,7 +23,7 @@
 // back. Caller holds mu.
 func (r *owned) coalescing(now time.Time) coalesce.Policy {
 	spec := r.replica.Service.Spec
-	if spec.GetSilentColdStart() || now.Before(r.singleUntil) || !r.limiter.MayWait(now, 0) {
+	if spec.GetSilentColdStart() || now.Before(r.singleUntil) || !r.limiter.MayQueue(now, 0) {
 		return coalesce.Policy{}
 	}
 	return coalesce.Policy{MaxBatch: int(spec.GetMaxBatch())}
@@ -33,7 +33,7 @@
 // holds mu.
 func (r *owned) mayWait(t *task, now time.Time) bool {
 	policy := r.coalescing(now)
-	if !r.limiter.MayWait(now, policy.Calls(len(r.queue))) {
+	if !r.limiter.MayQueue(now, policy.Calls(len(r.queue))) {
 		return false
 	}
 	left := time.Duration(math.MaxInt64)
@@ -60,7 +60,7 @@
 	for _, t := range group {
 		t.epoch = r.epoch
 	}
-	r.limiter.Batch(size)
+	r.limiter.SetBatchSize(size)
 	return group
 }
 
@@ -165,7 +165,7 @@
 	p.replica.judge(limit.Sample{
 		Latency:     reply.Took,
 		Result:      result,
-		Siblings:    siblings,
+		PeerLatency: siblings,
 		ReportsCold: reply.Cold,
 	})
 }
@@ -174,7 +174,7 @@
 func (r *owned) judge(sample limit.Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.limiter.Answered(time.Now(), sample)
+	r.limiter.ObserveMedian(time.Now(), sample)
 	r.noteState()
 }
 
@@ -184,11 +184,11 @@
 	p.mu.Lock()
 	p.ended = true
 	p.sample = limit.Sample{
-		Latency:  reply.Took,
-		Result:   resultOf(reply),
-		Siblings: siblings,
-		Items:    p.items,
-		Answered: p.judged,
+		Latency:        reply.Took,
+		Result:         resultOf(reply),
+		PeerLatency:    siblings,
+		Items:          p.items,
+		MedianObserved: p.judged,
 	}
 	p.mu.Unlock()
 	p.half()
--- a/node/owner/place.go
+++ b/node/owner/place.go
@@ -33,7 +33,7 @@
 	p.sample = limit.Sample{
 		Latency:     reply.Took,
 		Result:      resultOf(reply),
-		Siblings:    siblings,
+		PeerLatency: siblings,
 		ReportsCold: reply.Cold,
 	}
 	p.mu.Unlock()
@@ -59,7 +59,7 @@
 // answer at once.
 func (r *owned) patience(t *task) (context.Context, func()) {
 	r.mu.Lock()
-	letFinish := r.limiter.LetFinish()
+	letFinish := r.limiter.RunToCompletion()
 	r.mu.Unlock()
 	deadline, limited := t.ctx.Deadline()
 	if !letFinish || !limited || t.req.Execute {
@@ -95,7 +95,7 @@
 			// The connection was at fault; newer ones to the replica work.
 			return limit.ResultCancelled
 		}
-		return limit.ResultConnection
+		return limit.ResultConnectionFailed
 	case pb.Reason_REASON_DEADLINE:
 		return limit.ResultTimeout
 	case pb.Reason_REASON_CANCELLED:
--- a/node/owner/poll.go
+++ b/node/owner/poll.go
@@ -241,12 +241,12 @@
 	switch news.GetState() {
 	case pb.ReplicaState_REPLICA_STATE_WARM:
 		if fromFirst {
-			r.limiter.Warm(now)
+			r.limiter.ObserveWarm(now)
 		}
 	case pb.ReplicaState_REPLICA_STATE_COLD:
-		r.limiter.Observe(now, limit.SignColdReport)
+		r.limiter.Observe(now, limit.SignalColdReport)
 	case pb.ReplicaState_REPLICA_STATE_DRAINING:
-		r.limiter.Observe(now, limit.SignDraining)
+		r.limiter.Observe(now, limit.SignalDraining)
 	}
 	if news.GetNewestSnapshot() > r.held.newest {
 		r.hold(snapshots{oldest: news.GetOldestSnapshot(), newest: news.GetNewestSnapshot()})
--- a/node/owner/state.go
+++ b/node/owner/state.go
@@ -34,26 +34,26 @@
 }
 
 // signs lists what a reply tells about a cold start or draining.
-func (r *owned) signs(reply backend.Reply) []limit.Sign {
-	var signs []limit.Sign
+func (r *owned) signs(reply backend.Reply) []limit.Signal {
+	var signs []limit.Signal
 	restarted := reply.Incarnation != "" && r.incarn != "" && reply.Incarnation != r.incarn
 	if restarted {
-		signs = append(signs, limit.SignIncarnation)
+		signs = append(signs, limit.SignalIncarnation)
 	}
 	if reply.Reason == pb.Reason_REASON_CONNECTION && !reply.Silent {
-		signs = append(signs, limit.SignReset)
+		signs = append(signs, limit.SignalReset)
 	}
 	if reply.OK() && r.limiter.State() == pb.ReplicaState_REPLICA_STATE_LOST {
-		signs = append(signs, limit.SignReachable)
+		signs = append(signs, limit.SignalReachable)
 	}
 	if reply.OK() && r.limiter.Draining() && !reply.Draining {
-		signs = append(signs, limit.SignServing)
+		signs = append(signs, limit.SignalServing)
 	}
 	if reply.Cold {
-		signs = append(signs, limit.SignColdReport)
+		signs = append(signs, limit.SignalColdReport)
 	}
 	if reply.Draining {
-		signs = append(signs, limit.SignDraining)
+		signs = append(signs, limit.SignalDraining)
 	}
 	return signs
 }
@@ -74,7 +74,7 @@
 	}[state]
 	detail := ""
 	if kind == ring.ReplicaCold {
-		detail = r.limiter.LastSign().String()
+		detail = r.limiter.LastSignal().String()
 	}
 	if kind != "" {
 		r.owner.Ring.Add(kind, r.name, detail)
--- a/node/owner/verify.go
+++ b/node/owner/verify.go
@@ -72,7 +72,7 @@
 func (r *owned) current(epoch uint64) bool {
 	r.mu.Lock()
 	same := r.epoch == epoch
-	replica, alone := r.replica, r.limiter.FirstOnly()
+	replica, alone := r.replica, r.limiter.FirstOwnerOnly()
 	r.mu.Unlock()
 	return same && (!alone || r.owner.Fleet.MayUseCold(replica))
 }
--- a/policy/bench/owner.go
+++ b/policy/bench/owner.go
@@ -60,7 +60,7 @@
 	switch why := o.limiter.TryAcquire(n.run.loop.now()); {
 	case why == pb.Reason_REASON_UNSPECIFIED:
 		o.send(t)
-	case why == pb.Reason_REASON_LIMIT && !t.extra && o.limiter.MayWait(n.run.loop.now(), len(o.queue)):
+	case why == pb.Reason_REASON_LIMIT && !t.extra && o.limiter.MayQueue(n.run.loop.now(), len(o.queue)):
 		o.queue = append(o.queue, t)
 	default:
 		o.refuse(t, why)
@@ -126,7 +126,7 @@
 // answered ends a request at the limiter.
 func (o *owned) answered(start time.Time, answer serverReply) {
 	now := o.node.run.loop.now()
-	sample := limit.Sample{Latency: now.Sub(start), Siblings: o.node.subrequests.At(0.5)}
+	sample := limit.Sample{Latency: now.Sub(start), PeerLatency: o.node.subrequests.At(0.5)}
 	if answer.held != 0 {
 		o.held = answer.held
 	}
@@ -134,13 +134,13 @@
 	case pb.Reason_REASON_UNSPECIFIED, pb.Reason_REASON_NO_SNAPSHOT:
 		if answer.incarnation != o.incarnation {
 			o.incarnation = answer.incarnation
-			o.limiter.Observe(now, limit.SignIncarnation)
+			o.limiter.Observe(now, limit.SignalIncarnation)
 		}
 		sample.Result = limit.ResultOK
 	case pb.Reason_REASON_SHED:
 		sample.Result = limit.ResultShed
 	default:
-		sample.Result = limit.ResultConnection
+		sample.Result = limit.ResultConnectionFailed
 	}
 	o.limiter.Release(now, sample)
 	o.tell()
@@ -159,7 +159,7 @@
 		return
 	}
 	limited := n.run.scenario.Policy == Carobmill
-	if limited && o.limiter.LetFinish() {
+	if limited && o.limiter.RunToCompletion() {
 		return
 	}
 	j.done = func(serverReply) {}
@@ -170,7 +170,7 @@
 	now := n.run.loop.now()
 	o.limiter.Release(now, limit.Sample{
 		Latency: now.Sub(a.task.start), Result: limit.ResultCancelled,
-		Siblings: n.subrequests.At(0.5),
+		PeerLatency: n.subrequests.At(0.5),
 	})
 	o.tell()
 	o.takeQueued()
@@ -201,9 +201,9 @@
 		loop.after(o.node.hop(other.node), func() {
 			switch {
 			case state == pb.ReplicaState_REPLICA_STATE_COLD:
-				other.limiter.Observe(loop.now(), limit.SignColdReport)
+				other.limiter.Observe(loop.now(), limit.SignalColdReport)
 			case state == pb.ReplicaState_REPLICA_STATE_WARM && o.first:
-				other.limiter.Warm(loop.now())
+				other.limiter.ObserveWarm(loop.now())
 			}
 		})
 	}
@@ -221,7 +221,7 @@
 func (o *owned) poll() {
 	loop := o.node.run.loop
 	if o.limiter.State() == pb.ReplicaState_REPLICA_STATE_LOST && !o.server.down {
-		o.limiter.Observe(loop.now(), limit.SignReachable)
+		o.limiter.Observe(loop.now(), limit.SignalReachable)
 		o.tell()
 	}
 	loop.after(pollInterval, o.poll)
--- a/policy/bench/run.go
+++ b/policy/bench/run.go
@@ -182,7 +182,7 @@
 		}
 		for _, o := range owners {
 			r.loop.after(backendHop, func() {
-				o.limiter.Observe(r.loop.now(), limit.SignReset)
+				o.limiter.Observe(r.loop.now(), limit.SignalReset)
 				o.tell()
 			})
 		}
--- a/policy/gather/hedge_test.go
+++ b/policy/gather/hedge_test.go
@@ -66,7 +66,7 @@
 	standing, hedged := 0, 0
 	for i := range requests {
 		now := start.Add(time.Duration(i) * interval)
-		budget.Request(now)
+		budget.RecordRequest(now)
 		took := 12 * ms
 		stands := false
 		switch p := rng.Float64(); {
@@ -79,7 +79,7 @@
 		if stands && warm {
 			standing++
 		}
-		if took <= hedging.After(budget.SpareUsed(now, 1)) || !budget.TakeSpare(now, 1) {
+		if took <= hedging.After(budget.OptionalUsed(now, 1)) || !budget.TakeOptional(now, 1) {
 			continue
 		}
 		if stands && warm {
--- a/policy/limit/batch.go
+++ b/policy/limit/batch.go
@@ -24,15 +24,15 @@
 	answering int
 }
 
-// Batch says that the request that TryAcquire let through last carries that many
+// SetBatchSize says that the request that TryAcquire let through last carries that many
 // subrequests. Its Release gives the same number as Sample.Items.
-func (l *Limiter) Batch(items int) {
+func (l *Limiter) SetBatchSize(items int) {
 	l.batches.extra += max(items-1, 0)
 }
 
-// Answered judges a batch by the answer that completes its first half. The place
-// stays taken until Release, whose sample says Answered.
-func (l *Limiter) Answered(now time.Time, s Sample) {
+// ObserveMedian judges a batch by the answer that completes its first half. The place
+// stays taken until Release, whose sample says ObserveMedian.
+func (l *Limiter) ObserveMedian(now time.Time, s Sample) {
 	l.inFlight.remove(now.Add(-s.Latency))
 	l.batches.answering++
 	l.judge(now, s)
--- a/policy/limit/latency.go
+++ b/policy/limit/latency.go
@@ -41,7 +41,7 @@
 // observe adds an answer and reports whether its latency was normal.
 func (l *latency) observe(now time.Time, s Sample) bool {
 	l.age(now)
-	l.hearSiblings(s.Siblings)
+	l.hearSiblings(s.PeerLatency)
 	if l.slow(s) {
 		return false
 	}
@@ -88,7 +88,7 @@
 // replica's own best. Queries that are slow everywhere do not count against one
 // replica; a replica in a distant data centre is compared with itself.
 func (l *latency) reference(s Sample) time.Duration {
-	return max(s.Siblings, l.best)
+	return max(s.PeerLatency, l.best)
 }
 
 // steady judges without a reference: a replica that still gets faster is still
--- a/policy/limit/limit.go
+++ b/policy/limit/limit.go
@@ -16,14 +16,14 @@
 	// First is true when this node is the replica's first-ranked owner and the
 	// earlier one has left or is confirmed gone.
 	First bool
-	// Rest is how long a new first owner sends nothing to a replica that it alone
+	// TakeoverDelay is how long a new first owner sends nothing to a replica that it alone
 	// may use: what the earlier owner had in flight must end first, by its deadline
 	// and the time that a cancellation takes. 0 when there was no earlier owner.
-	Rest time.Duration
+	TakeoverDelay time.Duration
 	// CancelGrace is how long a cancelled request keeps its place while the
 	// replica is not warm: the replica may still be working on it.
 	CancelGrace time.Duration
-	// HoldDown is how long after a sign of a cold start Warm is not believed.
+	// HoldDown is how long after a sign of a cold start ObserveWarm is not believed.
 	// It exceeds the time that news takes between owners, so that news sent
 	// before the replica turned cold has no effect.
 	HoldDown time.Duration
@@ -71,7 +71,7 @@
 	coldInFlight int
 	phase        phase
 	limit        float64
-	lastSign     Sign
+	lastSign     Signal
 	// signSeen is true from a sign of a cold start until the replica is warm.
 	signSeen bool
 	// draining: the replica takes no new work until it says otherwise.
@@ -84,9 +84,9 @@
 	// at coldSince.
 	coldReports int
 	coldSince   time.Time
-	// restUntil is the end of Params.Rest.
+	// restUntil is the end of Params.TakeoverDelay.
 	restUntil time.Time
-	// distrustUntil is when Warm is believed again.
+	// distrustUntil is when ObserveWarm is believed again.
 	distrustUntil time.Time
 	inFlight      inFlight
 	batches       batches
@@ -112,7 +112,7 @@
 		params:       p,
 		share:        p.MaxInFlight,
 		coldInFlight: p.ColdInFlight,
-		restUntil:    now.Add(p.Rest),
+		restUntil:    now.Add(p.TakeoverDelay),
 	}
 	l.bound()
 	l.limit = l.floor()
@@ -126,7 +126,7 @@
 	switch {
 	case l.draining:
 		return pb.Reason_REASON_LEAVING
-	case l.FirstOnly() && !l.mayUseCold(now):
+	case l.FirstOwnerOnly() && !l.mayUseCold(now):
 		return pb.Reason_REASON_COLD
 	case l.places(now) >= l.allowed(now):
 		return pb.Reason_REASON_LIMIT
@@ -147,8 +147,8 @@
 	became := first && !l.params.First
 	l.params.First = first
 	l.bound()
-	if became && l.FirstOnly() {
-		l.restUntil = later(l.restUntil, now.Add(l.params.Rest))
+	if became && l.FirstOwnerOnly() {
+		l.restUntil = later(l.restUntil, now.Add(l.params.TakeoverDelay))
 	}
 	if l.phase == warm {
 		l.limit = min(l.limit, float64(l.params.MaxInFlight))
@@ -177,10 +177,10 @@
 	}
 }
 
-// Warm says that the replica's first owner found it warm. Another owner starts
+// ObserveWarm says that the replica's first owner found it warm. Another owner starts
 // with one request in flight and grows on its own successes. A first owner
 // relies on its own successes only.
-func (l *Limiter) Warm(now time.Time) {
+func (l *Limiter) ObserveWarm(now time.Time) {
 	if l.params.First || l.phase == warm || now.Before(l.distrustUntil) {
 		return
 	}
@@ -214,10 +214,10 @@
 	}
 }
 
-// MayWait reports whether a request that TryAcquire refused with REASON_LIMIT may
+// MayQueue reports whether a request that TryAcquire refused with REASON_LIMIT may
 // wait at the owner behind that many others. Waiting is for a warm replica at its
 // full pace: at any other, the shard's next replica answers sooner.
-func (l *Limiter) MayWait(now time.Time, waiting int) bool {
+func (l *Limiter) MayQueue(now time.Time, waiting int) bool {
 	if l.params.Exclusive {
 		fullPace := l.params.First && l.phase == warm && !l.overdue(now) && l.latency.slowRun == 0
 		return fullPace && waiting < waitingAlone*int(l.limit)
@@ -225,14 +225,14 @@
 	return l.phase == warm && l.allowed(now) == int(l.limit) && waiting < waitingPerPlace*int(l.limit)
 }
 
-// LetFinish reports whether a request that nobody waits for any more should run
+// RunToCompletion reports whether a request that nobody waits for any more should run
 // to its end at the replica. A replica that is not warm needs it to warm up, its
 // latency shows how far it is, and its place is free only when it has ended. With
 // cancellation, hedges would win every race and the replica would stay cold. One
 // with silent cold starts needs it always: which state a cancelled request is in
 // when one begins, nobody knows.
-func (l *Limiter) LetFinish() bool {
-	return l.FirstOnly()
+func (l *Limiter) RunToCompletion() bool {
+	return l.FirstOwnerOnly()
 }
 
 // InFlight returns the requests in flight, a batch as one, without cancelled ones
@@ -243,7 +243,7 @@
 
 // Limit returns how many requests may be in flight now.
 func (l *Limiter) Limit() int {
-	if l.draining || (l.FirstOnly() && !l.params.First) {
+	if l.draining || (l.FirstOwnerOnly() && !l.params.First) {
 		return 0
 	}
 	return int(l.limit)
@@ -254,9 +254,9 @@
 	return l.draining
 }
 
-// FirstOnly reports whether the replica must be used as a cold one is: by its
+// FirstOwnerOnly reports whether the replica must be used as a cold one is: by its
 // first owner alone, with each request counted until the replica is rid of it.
-func (l *Limiter) FirstOnly() bool {
+func (l *Limiter) FirstOwnerOnly() bool {
 	return l.params.Exclusive || l.phase != warm
 }
 
@@ -268,7 +268,7 @@
 // cancelled requests count, and each subrequest of a batch.
 func (l *Limiter) places(now time.Time) int {
 	taken := l.InFlight()
-	if l.FirstOnly() {
+	if l.FirstOwnerOnly() {
 		taken += l.inFlight.heldAt(now) + l.batches.extra
 	}
 	return taken
--- a/policy/limit/limit_test.go
+++ b/policy/limit/limit_test.go
@@ -43,7 +43,7 @@
 	n := o.fill()
 	o.now = o.now.Add(latency)
 	for range n {
-		o.Release(o.now, limit.Sample{Latency: latency, Result: result, Siblings: normal})
+		o.Release(o.now, limit.Sample{Latency: latency, Result: result, PeerLatency: normal})
 	}
 	return n
 }
@@ -57,7 +57,7 @@
 	qt.Assert(t, o.Limit(), qt.Equals, 8)
 }
 
-func TestUnknownReplicaIsUsedByItsFirstOwnerAlone(t *testing.T) {
+func TestUnknownReplicaIsUsedByItsFirstOwnerOnly(t *testing.T) {
 	c := qt.New(t)
 	first, second := newOwner(true), newOwner(false)
 	c.Assert(second.TryAcquire(start), qt.Equals, pb.Reason_REASON_COLD)
@@ -65,7 +65,7 @@
 	c.Assert(first.TryAcquire(start), qt.Equals, pb.Reason_REASON_LIMIT)
 	c.Assert(first.State(), qt.Equals, pb.ReplicaState_REPLICA_STATE_UNSPECIFIED)
 
-	second.Warm(start)
+	second.ObserveWarm(start)
 	c.Assert(second.fill(), qt.Equals, 1)
 }
 
@@ -88,7 +88,7 @@
 
 // A replica without siblings that still gets faster is still warming up, so
 // successes count only once its latency is steady.
-func TestWithoutSiblingsLatencyMustBeSteady(t *testing.T) {
+func TestLimitGrowsWithoutPeersOnceLatencyIsSteady(t *testing.T) {
 	c := qt.New(t)
 	o := newOwner(true)
 	latency := 100 * normal
@@ -112,14 +112,14 @@
 // The replica turns cold while two owners use it at their full share. Whatever
 // shows it first, the first owner goes down to one request and the other one to
 // none, and news of a warm replica from before has no effect.
-func TestAnySignDropsTheLimitAtOnce(t *testing.T) {
+func TestEachColdSignalDropsTheLimitAtOnce(t *testing.T) {
 	signs := map[string]func(*owner){
-		"refused":     func(o *owner) { o.Observe(o.now, limit.SignRefused) },
-		"reset":       func(o *owner) { o.Observe(o.now, limit.SignReset) },
-		"incarnation": func(o *owner) { o.Observe(o.now, limit.SignIncarnation) },
-		"report":      func(o *owner) { o.Observe(o.now, limit.SignColdReport) },
+		"refused":     func(o *owner) { o.Observe(o.now, limit.SignalRefused) },
+		"reset":       func(o *owner) { o.Observe(o.now, limit.SignalReset) },
+		"incarnation": func(o *owner) { o.Observe(o.now, limit.SignalIncarnation) },
+		"report":      func(o *owner) { o.Observe(o.now, limit.SignalColdReport) },
 		"shed":        func(o *owner) { o.round(normal, limit.ResultShed) },
-		"connection":  func(o *owner) { o.round(normal, limit.ResultConnection) },
+		"connection":  func(o *owner) { o.round(normal, limit.ResultConnectionFailed) },
 		"slow": func(o *owner) {
 			o.round(5*normal, limit.ResultOK)
 		},
@@ -128,7 +128,7 @@
 		},
 		"answer reports cold": func(o *owner) {
 			o.TryAcquire(o.now)
-			o.Release(o.now, limit.Sample{Siblings: normal, ReportsCold: true})
+			o.Release(o.now, limit.Sample{PeerLatency: normal, ReportsCold: true})
 		},
 	}
 	for name, show := range signs {
@@ -136,7 +136,7 @@
 			c := qt.New(t)
 			first, second := newOwner(true), newOwner(false)
 			first.warmUp(t)
-			second.Warm(start)
+			second.ObserveWarm(start)
 			second.warmUp(t)
 
 			show(first)
@@ -146,9 +146,9 @@
 
 			show(second)
 			second.now = second.now.Add(60 * time.Millisecond)
-			second.Warm(second.now)
+			second.ObserveWarm(second.now)
 			c.Check(second.fill(), qt.Equals, 0)
-			second.Warm(second.now.Add(time.Second))
+			second.ObserveWarm(second.now.Add(time.Second))
 			c.Check(second.fill(), qt.Equals, 1)
 		})
 	}
@@ -158,21 +158,21 @@
 // until a request does not come back in time. From then on they must not fill
 // their share, although no answer has been slow yet. After a slow answer they
 // try one request; a normal answer gives the share back.
-func TestOverdueRequestHoldsNewOnes(t *testing.T) {
+func TestOverdueRequestBlocksNewOnes(t *testing.T) {
 	c := qt.New(t)
 	o := newOwner(true)
 	o.warmUp(t)
 	c.Assert(o.TryAcquire(o.now), qt.Equals, acquired)
 	o.now = o.now.Add(5 * normal)
 	c.Assert(o.TryAcquire(o.now), qt.Equals, pb.Reason_REASON_LIMIT)
-	o.Release(o.now, limit.Sample{Latency: 5 * normal, Siblings: normal})
+	o.Release(o.now, limit.Sample{Latency: 5 * normal, PeerLatency: normal})
 	c.Assert(o.round(normal, limit.ResultOK), qt.Equals, 1)
 	c.Assert(o.fill() > 1, qt.IsTrue, qt.Commentf("one straggler is no cold start"))
 }
 
 // The loser of a hedge is cancelled at a cold replica, which works on it until
 // the cancellation arrives. The next request must not join it there.
-func TestCancelledRequestKeepsItsPlaceAtAColdReplica(t *testing.T) {
+func TestCancelledRequestOccupiesItsSlotAtAColdReplica(t *testing.T) {
 	c := qt.New(t)
 	o := newOwner(true)
 	c.Assert(o.round(normal, limit.ResultCancelled), qt.Equals, 1)
@@ -183,9 +183,9 @@
 
 // Ownership moves while the replica is cold. The earlier owner sends nothing
 // new; the next one rests until what was in flight has ended.
-func TestColdReplicaRestsBetweenOwners(t *testing.T) {
+func TestNewFirstOwnerWaitsForTakeoverDelay(t *testing.T) {
 	c := qt.New(t)
-	p := limit.Params{MaxInFlight: 8, ColdInFlight: 1, First: true, Rest: time.Second}
+	p := limit.Params{MaxInFlight: 8, ColdInFlight: 1, First: true, TakeoverDelay: time.Second}
 	earlier := limit.New(p, start)
 	c.Assert(earlier.TryAcquire(start), qt.Equals, pb.Reason_REASON_COLD)
 	now := start.Add(time.Second)
@@ -202,14 +202,14 @@
 	c.Assert(next.TryAcquire(now.Add(time.Minute+time.Second)), qt.Equals, acquired)
 }
 
-func TestDrainingReplicaGetsNothingAndComesBackCold(t *testing.T) {
+func TestDrainingReplicaReceivesNothingAndReturnsCold(t *testing.T) {
 	c := qt.New(t)
 	o := newOwner(true)
 	o.warmUp(t)
-	o.Observe(o.now, limit.SignDraining)
+	o.Observe(o.now, limit.SignalDraining)
 	c.Assert(o.TryAcquire(o.now), qt.Equals, pb.Reason_REASON_LEAVING)
 	c.Assert(o.State(), qt.Equals, pb.ReplicaState_REPLICA_STATE_DRAINING)
-	o.Observe(o.now, limit.SignServing)
+	o.Observe(o.now, limit.SignalServing)
 	c.Assert(o.fill(), qt.Equals, 1)
 }
 
@@ -221,7 +221,7 @@
 		peak = max(peak, n)
 		o.now = o.now.Add(normal)
 		for range n {
-			o.Release(o.now, limit.Sample{Latency: normal, Siblings: normal, ReportsCold: true})
+			o.Release(o.now, limit.Sample{Latency: normal, PeerLatency: normal, ReportsCold: true})
 		}
 	}
 	return peak
@@ -229,7 +229,7 @@
 
 // A replica reports a cold start for ever while it answers at normal latency.
 // The report is stuck; the replica must reach its share all the same.
-func TestStuckColdReportIsOverruledByLatency(t *testing.T) {
+func TestStuckColdReportIsIgnoredAtNormalLatency(t *testing.T) {
 	o := newOwner(true)
 	o.reportCold(17 * time.Second)
 	qt.Assert(t, o.Limit(), qt.Equals, 8)
@@ -239,15 +239,15 @@
 // normal latency as long as it gets one request at a time; with two it falls over.
 // A hundred answers a second all report the cold start, and each of them is true:
 // neither their number nor those of earlier incarnations make them stale.
-func TestColdReportsInQuickSuccessionAreBelieved(t *testing.T) {
+func TestFrequentColdReportsAreAcceptedAfterEachRestart(t *testing.T) {
 	o := newOwner(true)
 	for range 6 {
 		qt.Assert(t, o.reportCold(5*time.Second), qt.Equals, 1)
-		o.Observe(o.now, limit.SignIncarnation)
+		o.Observe(o.now, limit.SignalIncarnation)
 	}
 }
 
-func TestLostReplicaIsTriedRarely(t *testing.T) {
+func TestLostReplicaIsRetriedWithBackoff(t *testing.T) {
 	c := qt.New(t)
 	o := newOwner(true)
 	attempts := 0
@@ -255,7 +255,7 @@
 		o.now = o.now.Add(time.Millisecond)
 		if o.TryAcquire(o.now) == acquired {
 			attempts++
-			o.Release(o.now, limit.Sample{Result: limit.ResultConnection})
+			o.Release(o.now, limit.Sample{Result: limit.ResultConnectionFailed})
 		}
 	}
 	c.Assert(attempts < 20, qt.IsTrue, qt.Commentf("attempts %d", attempts))
@@ -282,7 +282,7 @@
 // The caller waits in a queue for no reason: the owner states its unchanged share
 // with every request, and each statement threw the successes away that the limit
 // grows on, so a warm replica stayed at one request in flight for ever.
-func TestUnchangedShareKeepsTheRamp(t *testing.T) {
+func TestUnchangedShareDoesNotResetGrowth(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	l := limit.New(limit.Params{MaxInFlight: 10, ColdInFlight: 1, First: true}, now)
--- a/policy/limit/model_test.go
+++ b/policy/limit/model_test.go
@@ -80,16 +80,16 @@
 
 func newModel(tm tamper) *model {
 	m := &model{tamper: tm, now: start, cold: coldRequests}
-	p := limit.Params{MaxInFlight: modelShare, ColdInFlight: modelBears, Rest: longest, Exclusive: tm.exclusive && !tm.manyAtWarm}
+	p := limit.Params{MaxInFlight: modelShare, ColdInFlight: modelBears, TakeoverDelay: longest, Exclusive: tm.exclusive && !tm.manyAtWarm}
 	if tm.exclusive {
 		// A request that timed out is worked on until its cancellation arrives.
-		p.Rest += cancelDelay
+		p.TakeoverDelay += cancelDelay
 	}
 	if tm.believesOldNews {
 		p.HoldDown = 1
 	}
 	if tm.noRest {
-		p.Rest = 0
+		p.TakeoverDelay = 0
 	}
 	if tm.cancelsCold {
 		p.CancelGrace = 1
@@ -123,7 +123,7 @@
 	}
 	if o.unseen {
 		m.seeReset(i)
-		o.Release(m.now, limit.Sample{Result: limit.ResultConnection})
+		o.Release(m.now, limit.Sample{Result: limit.ResultConnectionFailed})
 		return
 	}
 	if o.draining {
@@ -166,9 +166,9 @@
 }
 
 func (m *model) release(f flight, result limit.Result) {
-	s := limit.Sample{Latency: m.now.Sub(f.start), Result: result, Siblings: normal}
+	s := limit.Sample{Latency: m.now.Sub(f.start), Result: result, PeerLatency: normal}
 	if m.tamper.ignoresLatency {
-		s.Siblings = time.Second
+		s.PeerLatency = time.Second
 	}
 	m.owners[f.owner].Release(m.now, s)
 }
@@ -180,7 +180,7 @@
 	}
 	i := rapid.IntRange(0, len(m.flights)-1).Draw(t, "flight")
 	f := m.flights[i]
-	if m.owners[f.owner].LetFinish() && !m.tamper.cancelsCold {
+	if m.owners[f.owner].RunToCompletion() && !m.tamper.cancelsCold {
 		return
 	}
 	m.withdraw(i, limit.ResultCancelled)
@@ -211,7 +211,7 @@
 	}
 	for _, f := range lost {
 		m.seeReset(f.owner)
-		m.release(f, limit.ResultConnection)
+		m.release(f, limit.ResultConnectionFailed)
 	}
 }
 
@@ -241,7 +241,7 @@
 	}
 	o.unseen = false
 	if !m.tamper.missesResets {
-		o.Observe(m.now, limit.SignReset)
+		o.Observe(m.now, limit.SignalReset)
 	}
 }
 
@@ -295,11 +295,11 @@
 	switch n.state {
 	case pb.ReplicaState_REPLICA_STATE_WARM:
 		if m.tamper.revivesByNews {
-			m.owners[n.to].Observe(m.now, limit.SignServing)
+			m.owners[n.to].Observe(m.now, limit.SignalServing)
 		}
-		m.owners[n.to].Warm(m.now)
+		m.owners[n.to].ObserveWarm(m.now)
 	case pb.ReplicaState_REPLICA_STATE_COLD:
-		m.owners[n.to].Observe(m.now, limit.SignColdReport)
+		m.owners[n.to].Observe(m.now, limit.SignalColdReport)
 	}
 }
 
@@ -315,14 +315,14 @@
 	o := m.owners[rapid.IntRange(0, modelOwners-1).Draw(t, "owner")]
 	o.draining = true
 	if !m.tamper.ignoresDraining {
-		o.Observe(m.now, limit.SignDraining)
+		o.Observe(m.now, limit.SignalDraining)
 	}
 }
 
 func (m *model) serve(t *rapid.T) {
 	o := m.owners[rapid.IntRange(0, modelOwners-1).Draw(t, "owner")]
 	o.draining = false
-	o.Observe(m.now, limit.SignServing)
+	o.Observe(m.now, limit.SignalServing)
 }
 
 func (m *model) wait(t *rapid.T) {
@@ -382,7 +382,7 @@
 	for i, o := range m.owners {
 		m.seeReset(i)
 		o.draining = false
-		o.Observe(m.now, limit.SignServing)
+		o.Observe(m.now, limit.SignalServing)
 	}
 	m.news = nil
 	first := m.owners[m.first]
--- a/policy/limit/release.go
+++ b/policy/limit/release.go
@@ -17,10 +17,10 @@
 	ResultCancelled
 	// ResultShed means that the replica refused the request for its load.
 	ResultShed
-	// ResultConnection means that the connection was refused or reset. A silent
+	// ResultConnectionFailed means that the connection was refused or reset. A silent
 	// connection that newer ones disprove is ResultCancelled: it says nothing
 	// about the replica.
-	ResultConnection
+	ResultConnectionFailed
 	// ResultNotSent means that the request was given up before anything was sent.
 	ResultNotSent
 )
@@ -30,16 +30,16 @@
 	// Latency from TryAcquire to the end.
 	Latency time.Duration
 	Result  Result
-	// Siblings is the typical latency of the shard's other warm replicas for
+	// PeerLatency is the typical latency of the shard's other warm replicas for
 	// requests of the same class, 0 when unknown.
-	Siblings time.Duration
+	PeerLatency time.Duration
 	// ReportsCold is true when the answer says that the replica is cold.
 	ReportsCold bool
-	// Items is how many subrequests the request carried, as told to Batch; 0 and 1
+	// Items is how many subrequests the request carried, as told to SetBatchSize; 0 and 1
 	// are a single one.
 	Items int
-	// Answered is true when Answered has judged the request before.
-	Answered bool
+	// MedianObserved is true when MedianObserved has judged the request before.
+	MedianObserved bool
 }
 
 const (
@@ -56,7 +56,7 @@
 // Release ends a request that TryAcquire let through.
 func (l *Limiter) Release(now time.Time, s Sample) {
 	l.batches.extra -= max(s.Items-1, 0)
-	if s.Answered {
+	if s.MedianObserved {
 		l.releaseAnswered(now, s)
 		return
 	}
@@ -69,9 +69,9 @@
 	switch s.Result {
 	case ResultShed:
 		l.lost = 0
-		l.Observe(now, SignShed)
-	case ResultConnection:
-		l.Observe(now, SignReset)
+		l.Observe(now, SignalShed)
+	case ResultConnectionFailed:
+		l.Observe(now, SignalReset)
 	case ResultCancelled, ResultTimeout:
 		l.abandoned(now, s)
 	case ResultError:
@@ -100,7 +100,7 @@
 		l.coldReports = 0
 	} else if l.believeColdReport(now) {
 		l.latency.observe(now, s)
-		l.chill(now, SignColdReport)
+		l.chill(now, SignalColdReport)
 		return
 	}
 	normal := l.latency.observe(now, s)
@@ -121,7 +121,7 @@
 func (l *Limiter) answeredSlowly(now time.Time, s Sample) {
 	l.run = 0
 	if l.latency.slowRun >= slowRunCold {
-		l.Observe(now, SignSlow)
+		l.Observe(now, SignalSlow)
 		return
 	}
 	if l.phase != warm {
--- a/policy/limit/signs.go
+++ b/policy/limit/signs.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Sign is something seen of a replica outside an ordinary answer.
-type Sign int
+// Signal is something seen of a replica outside an ordinary answer.
+type Signal int
 
 const (
-	// SignRefused means that a connection was refused or could not be opened.
-	SignRefused Sign = iota + 1
-	// SignReset means that an open connection, idle or in use, was closed by the replica.
-	SignReset
-	// SignIncarnation means that the replica names another incarnation than before.
-	SignIncarnation
-	// SignShed means that the replica refused a request for its load.
-	SignShed
-	// SignColdReport means that the replica or another owner reports a cold start.
-	SignColdReport
-	// SignSlow means that latency is far from that of its siblings.
-	SignSlow
-	// SignDraining means that the replica takes no new work.
-	SignDraining
-	// SignServing means that a replica that was draining takes work again. It comes back
+	// SignalRefused means that a connection was refused or could not be opened.
+	SignalRefused Signal = iota + 1
+	// SignalReset means that an open connection, idle or in use, was closed by the replica.
+	SignalReset
+	// SignalIncarnation means that the replica names another incarnation than before.
+	SignalIncarnation
+	// SignalShed means that the replica refused a request for its load.
+	SignalShed
+	// SignalColdReport means that the replica or another owner reports a cold start.
+	SignalColdReport
+	// SignalSlow means that latency is far from that of its siblings.
+	SignalSlow
+	// SignalDraining means that the replica takes no new work.
+	SignalDraining
+	// SignalServing means that a replica that was draining takes work again. It comes back
 	// cold, whatever it says.
-	SignServing
-	// SignReachable means that a connection could be opened again. The replica
+	SignalServing
+	// SignalReachable means that a connection could be opened again. The replica
 	// is no longer lost, but cold until shown otherwise.
-	SignReachable
+	SignalReachable
 )
 
 // String names the sign for operators.
-func (s Sign) String() string {
+func (s Signal) String() string {
 	names := [...]string{
 		"none", "connection refused", "connection reset", "new incarnation", "shed",
 		"cold report", "slow", "draining", "serving again", "reachable again",
@@ -58,34 +58,34 @@
 // Observe applies a sign. Each sign of a cold start is enough alone to drop the
 // limit: they lag or get lost singly, and a limit that is too low for a second
 // costs little against a replica that falls over.
-func (l *Limiter) Observe(now time.Time, sign Sign) {
+func (l *Limiter) Observe(now time.Time, sign Signal) {
 	switch sign {
-	case SignDraining:
+	case SignalDraining:
 		l.draining = true
-	case SignServing:
+	case SignalServing:
 		if l.draining {
 			l.draining = false
 			l.chill(now, sign)
 		}
-	case SignReachable:
+	case SignalReachable:
 		l.lost = 0
 		l.pausedUntil = now
-	case SignRefused, SignReset:
+	case SignalRefused, SignalReset:
 		l.connectionFailed(now)
 		l.coldReports = 0
 		l.chill(now, sign)
-	case SignIncarnation:
+	case SignalIncarnation:
 		// A new incarnation has no part in the drain of the earlier one, and its
 		// reports are its own: what the earlier one repeated does not make them
 		// stale.
 		l.draining = false
 		l.coldReports = 0
 		l.chill(now, sign)
-	case SignColdReport:
+	case SignalColdReport:
 		if l.believeColdReport(now) {
 			l.chill(now, sign)
 		}
-	case SignShed, SignSlow:
+	case SignalShed, SignalSlow:
 		l.chill(now, sign)
 	}
 }
@@ -112,11 +112,11 @@
 	return l.coldReports <= reportPatience || now.Sub(l.coldSince) < reportTime
 }
 
-// LastSign returns the sign that last dropped the limit, 0 when none did.
-func (l *Limiter) LastSign() Sign { return l.lastSign }
+// LastSignal returns the sign that last dropped the limit, 0 when none did.
+func (l *Limiter) LastSignal() Signal { return l.lastSign }
 
 // chill drops the limit to the cold floor.
-func (l *Limiter) chill(now time.Time, why Sign) {
+func (l *Limiter) chill(now time.Time, why Signal) {
 	l.lastSign = why
 	l.phase = cold
 	l.signSeen = true
--- a/policy/reach/reach.go
+++ b/policy/reach/reach.go
@@ -48,8 +48,8 @@
 	return &Tracker{own: own, centres: make(map[string]*centre)}
 }
 
-// Keep replaces the data centres in which replicas are known. replicas holds how many.
-func (t *Tracker) Keep(now time.Time, replicas map[string]int) {
+// SetDataCentres replaces the data centres in which replicas are known. replicas holds how many.
+func (t *Tracker) SetDataCentres(now time.Time, replicas map[string]int) {
 	for name := range t.centres {
 		if replicas[name] == 0 {
 			delete(t.centres, name)
@@ -63,8 +63,8 @@
 	}
 }
 
-// Answered notes that a replica of the data centre answered anything at all.
-func (t *Tracker) Answered(now time.Time, name string) {
+// RecordAnswer notes that a replica of the data centre answered anything at all.
+func (t *Tracker) RecordAnswer(now time.Time, name string) {
 	c := t.centres[name]
 	if c == nil {
 		return
@@ -76,8 +76,8 @@
 	}
 }
 
-// Silent notes that an attempt at a replica got no answer.
-func (t *Tracker) Silent(name, replica string) {
+// RecordNoAnswer notes that an attempt at a replica got no answer.
+func (t *Tracker) RecordNoAnswer(name, replica string) {
 	c := t.centres[name]
 	if c == nil {
 		return
@@ -88,15 +88,15 @@
 	}
 }
 
-// Waiting is an attempt that has been out at a replica for longer than replicas pause.
-type Waiting struct {
+// PendingAttempt is an attempt that has been out at a replica for longer than replicas pause.
+type PendingAttempt struct {
 	DataCentre, Replica string
 }
 
-// Judgement says what a node can reach. Immutable.
-type Judgement struct {
-	// Out holds the data centres that are out of reach.
-	Out map[string]bool
+// Reachability says what a node can reach. Immutable.
+type Reachability struct {
+	// Unreachable holds the data centres that are out of reach.
+	Unreachable map[string]bool
 	// Isolated is set when every other data centre is out of reach, or most are and what
 	// is left can answer too little. Callers are then better served by other nodes.
 	Isolated bool
@@ -107,9 +107,9 @@
 	Probe []string
 }
 
-// Judge weighs the attempts that ended without an answer and those that still wait.
+// Evaluate weighs the attempts that ended without an answer and those that still wait.
 // sufficient reports whether requests can be answered without the given data centres.
-func (t *Tracker) Judge(now time.Time, waiting []Waiting, sufficient func(out map[string]bool) bool) Judgement {
+func (t *Tracker) Evaluate(now time.Time, waiting []PendingAttempt, sufficient func(out map[string]bool) bool) Reachability {
 	attempts := make(map[string]int)
 	replicas := make(map[string]map[string]bool)
 	for _, w := range waiting {
@@ -119,14 +119,14 @@
 		}
 		replicas[w.DataCentre][w.Replica] = true
 	}
-	j := Judgement{Out: make(map[string]bool)}
+	j := Reachability{Unreachable: make(map[string]bool)}
 	for name, c := range t.centres {
 		if c.out(now, attempts[name], replicas[name]) {
-			j.Out[name] = true
+			j.Unreachable[name] = true
 		}
 	}
-	j.Isolated = t.isolated(j.Out, sufficient)
-	j.Probe = t.probes(now, j.Out)
+	j.Isolated = t.isolated(j.Unreachable, sufficient)
+	j.Probe = t.probes(now, j.Unreachable)
 	return j
 }
 
--- a/policy/registry/registry_test.go
+++ b/policy/registry/registry_test.go
@@ -25,7 +25,7 @@
 
 // News arrives out of order, since pages are read while a watch goes on: what is older
 // than what is known changes nothing, neither an entry nor its end.
-func TestOlderNewsChangesNothing(t *testing.T) {
+func TestOlderRecordIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	table := registry.NewTable()
 	c.Assert(table.Put(replica(1), 5), qt.IsTrue)
@@ -43,7 +43,7 @@
 	c.Assert(count(table), qt.Equals, 0)
 }
 
-func TestDataCentreThatIsOutHasNoUsableReplica(t *testing.T) {
+func TestUnreachableDataCentreHasNoUsableReplica(t *testing.T) {
 	c := qt.New(t)
 	table := registry.NewTable()
 	table.Put(replica(1), 5)
--- a/policy/retrybudget/retrybudget.go
+++ b/policy/retrybudget/retrybudget.go
@@ -50,8 +50,8 @@
 	return &Budget{bound: b, started: now}
 }
 
-// Request counts a caller's request to the service.
-func (b *Budget) Request(now time.Time) {
+// RecordRequest counts a caller's request to the service.
+func (b *Budget) RecordRequest(now time.Time) {
 	b.requests[b.advance(now)]++
 }
 
@@ -59,11 +59,11 @@
 // fleet's in units of this node, which share the slack.
 func (b *Budget) Take(now time.Time, size float64) bool { return b.take(now, size, 1) }
 
-// TakeSpare is Take for a request that need not be sent.
-func (b *Budget) TakeSpare(now time.Time, size float64) bool { return b.take(now, size, spareShare) }
+// TakeOptional is Take for a request that need not be sent.
+func (b *Budget) TakeOptional(now time.Time, size float64) bool { return b.take(now, size, spareShare) }
 
-// SpareUsed returns the share, 0 to 1, of what TakeSpare may grant now that is used.
-func (b *Budget) SpareUsed(now time.Time, size float64) float64 {
+// OptionalUsed returns the share, 0 to 1, of what TakeOptional may grant now that is used.
+func (b *Budget) OptionalUsed(now time.Time, size float64) float64 {
 	granted := spareShare * b.allowed(now, b.advance(now), size)
 	if granted < 1 {
 		return 1
--- a/policy/retrybudget/retrybudget_test.go
+++ b/policy/retrybudget/retrybudget_test.go
@@ -26,7 +26,7 @@
 	var requests, extras []time.Time
 	for at := begin; at.Before(begin.Add(60 * time.Second)); at = at.Add(time.Duration(rng.ExpFloat64() * float64(5*time.Millisecond))) {
 		b := budgets[rng.IntN(nodes)]
-		b.Request(at)
+		b.RecordRequest(at)
 		requests = append(requests, at)
 		if b.Take(at, nodes) {
 			extras = append(extras, at)
--- a/policy/upstream/goodput_test.go
+++ b/policy/upstream/goodput_test.go
@@ -57,7 +57,7 @@
 	rng   *rand.Rand
 	start time.Time
 	at    time.Duration
-	sets  []*upstream.Set
+	sets  []*upstream.Balancer
 	free  [shardReplicas][shardSlots]time.Duration
 	out   byEnd
 }
@@ -70,8 +70,8 @@
 		replicas = append(replicas, &registry.Replica{ID: name, Address: "10.0.0.1:80", DataCentre: name})
 	}
 	for range shardNodes {
-		set := upstream.NewSet(rand.New(rand.NewPCG(s.rng.Uint64(), 1)))
-		set.Keep(replicas)
+		set := upstream.NewBalancer(rand.New(rand.NewPCG(s.rng.Uint64(), 1)))
+		set.SetReplicas(replicas)
 		s.sets = append(s.sets, set)
 	}
 	return s
@@ -95,7 +95,7 @@
 func (s *overloadedShard) send(node int) {
 	now := s.start.Add(s.at)
 	q := upstream.Request{
-		Class: class, DataCentre: string(rune('0' + node%shardReplicas)), ConnectionsEach: 2, ColdPerSecond: -1,
+		Class: class, DataCentre: string(rune('0' + node%shardReplicas)), MaxInFlightPerReplica: 2, ColdPerSecond: -1,
 	}
 	st := s.sets[node].Pick(now, q)
 	if st == nil {
@@ -111,7 +111,7 @@
 	work := time.Duration((0.5 + s.rng.Float64()) * float64(shardWork))
 	ends := max(s.at, s.free[replica][slot]) + work
 	s.free[replica][slot] = ends
-	handle := s.sets[node].Sent(now, st, q)
+	handle := s.sets[node].RecordSent(now, st, q)
 	heap.Push(&s.out, &exchange{node: node, st: st, handle: handle, sent: s.at, ends: ends})
 }
 
--- a/policy/upstream/outcome.go
+++ b/policy/upstream/outcome.go
@@ -25,14 +25,14 @@
 	Refused
 	// Failed: the replica answered with a failure of its own, or spoilt the answer.
 	Failed
-	// Broken: the connection was lost while the request was on it.
-	Broken
+	// ConnectionLost: the connection was lost while the request was on it.
+	ConnectionLost
 	// Unreachable: no connection could be opened.
 	Unreachable
 	// Abandoned: nobody waits for the answer any more.
 	Abandoned
-	// Elsewhere: another replica answered at the address, so that this one is gone.
-	Elsewhere
+	// WrongReplica: another replica answered at the address, so that this one is gone.
+	WrongReplica
 )
 
 // Sample is the end of an attempt.
@@ -44,7 +44,7 @@
 }
 
 // Done takes the end of an attempt.
-func (s *Set) Done(now time.Time, st *State, sample Sample) {
+func (s *Balancer) Done(now time.Time, st *State, sample Sample) {
 	sent := st.remove(sample.Handle)
 	switch sample.Result {
 	case Answered:
@@ -54,7 +54,7 @@
 		st.pauseUntil = time.Time{}
 	case Refused:
 		st.failed(now, 1)
-	case Failed, Broken:
+	case Failed, ConnectionLost:
 		// A replica that loses some of its answers still gives the others: it is
 		// avoided by its failure rate, and rests only when nothing else comes.
 		st.failed(now, 1)
@@ -62,18 +62,18 @@
 	case Unreachable:
 		st.failed(now, 1)
 		st.rest(now, 1)
-	case Elsewhere:
+	case WrongReplica:
 		st.gone = true
 	case Abandoned:
 		// The answer took at least this long; a shorter wait tells nothing.
-		usual := s.Usual(sample.Class)
+		usual := s.BaselineLatency(sample.Class)
 		if sample.Took > time.Duration(stalledAfter*float64(usual)) {
 			st.slowness.observe(now, sent, float64(sample.Took)/float64(usual))
 		}
 	}
 }
 
-func (s *Set) observe(now, sent time.Time, st *State, sample Sample) {
+func (s *Balancer) observe(now, sent time.Time, st *State, sample Sample) {
 	u := s.usual[sample.Class]
 	if u == nil {
 		u = &usual{}
--- a/policy/upstream/slowness_test.go
+++ b/policy/upstream/slowness_test.go
@@ -33,7 +33,7 @@
 }
 
 // play sends a request each interval, and returns how many each replica got.
-func play(set *upstream.Set, start time.Time, servers map[string]server, every, length time.Duration) map[string]int {
+func play(set *upstream.Balancer, start time.Time, servers map[string]server, every, length time.Duration) map[string]int {
 	got := make(map[string]int)
 	var out []pending
 	for at := time.Duration(0); at < length; at += every {
@@ -53,25 +53,25 @@
 			continue
 		}
 		got[st.Replica.ID]++
-		handle := set.Sent(start.Add(at), st, request())
+		handle := set.RecordSent(start.Add(at), st, request())
 		out = append(out, pending{st: st, handle: handle, sent: at, ends: servers[st.Replica.ID].ends(at)})
 	}
 	return got
 }
 
 // nearAndAway returns a set of a replica in this node's data centre and one in another.
-func nearAndAway() *upstream.Set {
+func nearAndAway() *upstream.Balancer {
 	set, replicas, _ := fleet(2)
 	away := *replicas[1]
 	away.DataCentre = "b"
-	set.Keep([]*registry.Replica{replicas[0], &away})
+	set.SetReplicas([]*registry.Replica{replicas[0], &away})
 	return set
 }
 
 // The replica next door pauses for 120 ms every three seconds, with some requests out
 // each time. While it stands still others go to the data centre next to this one; as soon
 // as it answers again it is as fast as before, and gets them all.
-func TestPauseSendsRequestsAwayOnlyWhileItLasts(t *testing.T) {
+func TestShortPauseDivertsRequestsOnlyWhileItLasts(t *testing.T) {
 	c := qt.New(t)
 	const usual, pause, period = 11 * time.Millisecond, 120 * time.Millisecond, 3 * time.Second
 	servers := map[string]server{
@@ -86,7 +86,7 @@
 
 // The replica next door turns eight times slower and stays so. A few answers tell that this
 // is no pause, and nearly all requests go to the other data centre.
-func TestSlowReplicaNextDoorIsLeft(t *testing.T) {
+func TestSlowLocalReplicaLosesMostRequests(t *testing.T) {
 	c := qt.New(t)
 	const usual = 11 * time.Millisecond
 	set := nearAndAway()
--- a/policy/upstream/upstream.go
+++ b/policy/upstream/upstream.go
@@ -58,8 +58,8 @@
 	usual time.Duration
 }
 
-// Set is what this node knows of one service. Not safe for concurrent use.
-type Set struct {
+// Balancer is what this node knows of one service. Not safe for concurrent use.
+type Balancer struct {
 	rng    *rand.Rand
 	states map[string]*State
 	usable []*State
@@ -67,14 +67,14 @@
 	nextID uint64
 }
 
-// NewSet returns an empty set.
-func NewSet(rng *rand.Rand) *Set {
-	return &Set{rng: rng, states: make(map[string]*State), usual: make(map[string]*usual)}
+// NewBalancer returns an empty set.
+func NewBalancer(rng *rand.Rand) *Balancer {
+	return &Balancer{rng: rng, states: make(map[string]*State), usual: make(map[string]*usual)}
 }
 
-// Keep replaces the usable replicas. What is known of those that stay is kept; a new
+// SetReplicas replaces the usable replicas. What is known of those that stay is kept; a new
 // incarnation starts anew.
-func (s *Set) Keep(replicas []*registry.Replica) {
+func (s *Balancer) SetReplicas(replicas []*registry.Replica) {
 	kept := make(map[string]*State, len(replicas))
 	s.usable = s.usable[:0]
 	for _, r := range replicas {
@@ -103,16 +103,16 @@
 	DataCentre string
 	// Tried replicas get no second attempt of the same request.
 	Tried func(id string) bool
-	// OutOfReach data centres get nothing; may be nil.
-	OutOfReach map[string]bool
-	// ConnectionsEach is how many requests this node may have out at one replica.
-	ConnectionsEach int
+	// Unreachable data centres get nothing; may be nil.
+	Unreachable map[string]bool
+	// MaxInFlightPerReplica is how many requests this node may have out at one replica.
+	MaxInFlightPerReplica int
 	// ColdPerSecond is this node's part of the rate that a cold replica bears;
 	// negative when there is no bound.
 	ColdPerSecond float64
-	// Spare is set for a request that need not be sent: it goes to no replica that
+	// Optional is set for a request that need not be sent: it goes to no replica that
 	// rests, is cold or stands still.
-	Spare bool
+	Optional bool
 }
 
 // bears reports whether the replica may get one more request now. A request that need
@@ -121,31 +121,31 @@
 	if len(st.out) >= st.room(now, q) {
 		return false
 	}
-	if q.Spare && st.stalled(now) {
+	if q.Optional && st.stalled(now) {
 		return false
 	}
 	if q.ColdPerSecond < 0 || !st.isCold(now) {
 		return true
 	}
-	return !q.Spare && st.cold.has(now, q.ColdPerSecond)
+	return !q.Optional && st.cold.has(now, q.ColdPerSecond)
 }
 
 // Pick returns the replica expected to answer first, or nil when none may be used.
 // Replicas that rest after failures come last: one of them is tried when no other is
 // left, since a request that may fail is better than one that is given up.
-func (s *Set) Pick(now time.Time, q Request) *State {
+func (s *Balancer) Pick(now time.Time, q Request) *State {
 	var best, resting *State
 	var bestCost float64
 	var restingUntil time.Time
 	for _, st := range s.usable {
-		if st.gone || q.OutOfReach[st.Replica.DataCentre] || q.Tried != nil && q.Tried(st.Replica.ID) {
+		if st.gone || q.Unreachable[st.Replica.DataCentre] || q.Tried != nil && q.Tried(st.Replica.ID) {
 			continue
 		}
 		if !st.bears(now, q) {
 			continue
 		}
 		if now.Before(st.pauseUntil) {
-			if !q.Spare && (resting == nil || st.pauseUntil.Before(restingUntil)) && len(st.out) == 0 {
+			if !q.Optional && (resting == nil || st.pauseUntil.Before(restingUntil)) && len(st.out) == 0 {
 				resting, restingUntil = st, st.pauseUntil
 			}
 			continue
@@ -166,9 +166,9 @@
 // callers ask for more than it can serve; the rest is refused at once.
 func (st *State) room(now time.Time, q Request) int {
 	if st.slowness.at(now) < crowdedFrom {
-		return q.ConnectionsEach
+		return q.MaxInFlightPerReplica
 	}
-	return (q.ConnectionsEach + 1) / 2
+	return (q.MaxInFlightPerReplica + 1) / 2
 }
 
 func (st *State) isCold(now time.Time) bool {
@@ -176,7 +176,7 @@
 }
 
 // cost estimates the latency at a replica in units of the class's usual one.
-func (s *Set) cost(now time.Time, st *State, q Request) float64 {
+func (s *Balancer) cost(now time.Time, st *State, q Request) float64 {
 	slow := st.slowness.at(now)
 	if st.isCold(now) {
 		slow = max(slow, coldCost)
@@ -205,8 +205,8 @@
 	return false
 }
 
-// Waiting calls f for each attempt that has been out for longer than age.
-func (s *Set) Waiting(now time.Time, age time.Duration, f func(r *registry.Replica)) {
+// ForEachPending calls f for each attempt that has been out for longer than age.
+func (s *Balancer) ForEachPending(now time.Time, age time.Duration, f func(r *registry.Replica)) {
 	for _, st := range s.usable {
 		for _, a := range st.out {
 			if now.Sub(a.sent) > age {
@@ -216,26 +216,26 @@
 	}
 }
 
-// Usual returns the usual latency of a class at this service.
-func (s *Set) Usual(class string) time.Duration {
+// BaselineLatency returns the usual latency of a class at this service.
+func (s *Balancer) BaselineLatency(class string) time.Duration {
 	if u := s.usual[class]; u != nil {
 		return max(u.latency, minUsual)
 	}
 	return defaultUsual
 }
 
-// Sent counts a request that goes to the picked replica and returns its handle for
-// Done or Unsent.
-func (s *Set) Sent(now time.Time, st *State, q Request) uint64 {
+// RecordSent counts a request that goes to the picked replica and returns its handle for
+// Done or UndoSent.
+func (s *Balancer) RecordSent(now time.Time, st *State, q Request) uint64 {
 	s.nextID++
-	st.out = append(st.out, attempt{id: s.nextID, sent: now, usual: s.Usual(q.Class)})
+	st.out = append(st.out, attempt{id: s.nextID, sent: now, usual: s.BaselineLatency(q.Class)})
 	if st.isCold(now) && q.ColdPerSecond >= 0 {
 		st.cold.take(now, q.ColdPerSecond)
 	}
 	return s.nextID
 }
 
-// Unsent takes a request back that was not sent after all.
-func (s *Set) Unsent(st *State, handle uint64) {
+// UndoSent takes a request back that was not sent after all.
+func (s *Balancer) UndoSent(st *State, handle uint64) {
 	st.remove(handle)
 }
--- a/policy/upstream/upstream_test.go
+++ b/policy/upstream/upstream_test.go
@@ -14,27 +14,27 @@
 const class = "standings"
 
 // fleet returns a set of n replicas r0, r1 and so on, and its clock.
-func fleet(n int) (*upstream.Set, []*registry.Replica, time.Time) {
-	set := upstream.NewSet(rand.New(rand.NewPCG(1, 2)))
+func fleet(n int) (*upstream.Balancer, []*registry.Replica, time.Time) {
+	set := upstream.NewBalancer(rand.New(rand.NewPCG(1, 2)))
 	var replicas []*registry.Replica
 	for i := range n {
 		replicas = append(replicas, &registry.Replica{ID: "r" + string(rune('0'+i)), Address: "10.0.0.1:80", DataCentre: "a"})
 	}
-	set.Keep(replicas)
+	set.SetReplicas(replicas)
 	return set, replicas, time.Unix(1000, 0)
 }
 
 func request() upstream.Request {
-	return upstream.Request{Class: class, DataCentre: "a", ConnectionsEach: 3, ColdPerSecond: -1}
+	return upstream.Request{Class: class, DataCentre: "a", MaxInFlightPerReplica: 3, ColdPerSecond: -1}
 }
 
 // serve sends one request and ends it.
-func serve(set *upstream.Set, now time.Time, q upstream.Request, took time.Duration, result upstream.Result) string {
+func serve(set *upstream.Balancer, now time.Time, q upstream.Request, took time.Duration, result upstream.Result) string {
 	st := set.Pick(now, q)
 	if st == nil {
 		return ""
 	}
-	handle := set.Sent(now, st, q)
+	handle := set.RecordSent(now, st, q)
 	set.Done(now.Add(took), st, upstream.Sample{Handle: handle, Class: class, Took: took, Result: result})
 	return st.Replica.ID
 }
@@ -46,23 +46,23 @@
 func TestReplicaWhoseAddressWasReusedGetsNothingMore(t *testing.T) {
 	c := qt.New(t)
 	set, replicas, now := fleet(1)
-	c.Assert(serve(set, now, request(), time.Millisecond, upstream.Elsewhere), qt.Equals, "r0")
+	c.Assert(serve(set, now, request(), time.Millisecond, upstream.WrongReplica), qt.Equals, "r0")
 	for range 100 {
 		now = now.Add(time.Second)
 		c.Assert(set.Pick(now, request()), qt.IsNil)
 	}
-	set.Keep(replicas)
+	set.SetReplicas(replicas)
 	c.Assert(set.Pick(now, request()), qt.IsNil)
 	again := *replicas[0]
 	again.Incarnation++
-	set.Keep([]*registry.Replica{&again})
+	set.SetReplicas([]*registry.Replica{&again})
 	c.Assert(set.Pick(now, request()), qt.IsNotNil)
 }
 
 // A third of the replicas turn eight times slower. Callers whose requests go there
 // miss their objective; the node learns it from a few answers, sends the rest
 // elsewhere, and tries the slow ones again only now and then.
-func TestSlowReplicasAreLeftAndTriedAgainSparingly(t *testing.T) {
+func TestSlowReplicaReceivesOnlyOccasionalRequests(t *testing.T) {
 	c := qt.New(t)
 	set, _, now := fleet(3)
 	const usual = 15 * time.Millisecond
@@ -79,7 +79,7 @@
 			took = 8 * usual
 			slow++
 		}
-		handle := set.Sent(now, st, request())
+		handle := set.RecordSent(now, st, request())
 		set.Done(now.Add(took), st, upstream.Sample{Handle: handle, Class: class, Took: took, Result: upstream.Answered})
 	}
 	c.Assert(slow <= 8, qt.IsTrue, qt.Commentf("%d of 160 requests went to the slow replica", slow))
@@ -88,7 +88,7 @@
 
 // A replica stands still with a request out: further ones would wait as long. It gets
 // no more until it answers, although no failure is known yet.
-func TestStandingReplicaGetsNoSecondRequest(t *testing.T) {
+func TestStalledReplicaReceivesNoSecondRequest(t *testing.T) {
 	c := qt.New(t)
 	set, _, now := fleet(3)
 	for range 50 {
@@ -96,7 +96,7 @@
 		serve(set, now, request(), 15*time.Millisecond, upstream.Answered)
 	}
 	stuck := set.Pick(now, request())
-	set.Sent(now, stuck, request())
+	set.RecordSent(now, stuck, request())
 	now = now.Add(100 * time.Millisecond)
 	for range 50 {
 		c.Assert(serve(set, now, request(), 15*time.Millisecond, upstream.Answered), qt.Not(qt.Equals), stuck.Replica.ID)
@@ -110,7 +110,7 @@
 	set, replicas, now := fleet(1)
 	cold := *replicas[0]
 	cold.ColdUntil = now.Add(10 * time.Second)
-	set.Keep([]*registry.Replica{&cold})
+	set.SetReplicas([]*registry.Replica{&cold})
 	q := request()
 	q.ColdPerSecond = 2
 	sent := 0
@@ -134,7 +134,7 @@
 		now = now.Add(20 * time.Millisecond)
 		result := upstream.Answered
 		if rng.Float64() < 0.4 {
-			result = upstream.Broken
+			result = upstream.ConnectionLost
 		}
 		c.Assert(serve(set, now, request(), 15*time.Millisecond, result), qt.Not(qt.Equals), "")
 	}
@@ -149,7 +149,7 @@
 	for range 500 {
 		now = now.Add(20 * time.Millisecond)
 		st := set.Pick(now, request())
-		sample := upstream.Sample{Handle: set.Sent(now, st, request()), Class: class, Took: 15 * time.Millisecond}
+		sample := upstream.Sample{Handle: set.RecordSent(now, st, request()), Class: class, Took: 15 * time.Millisecond}
 		if st.Replica.ID == "r2" {
 			sample.Result, sample.Took = upstream.Refused, time.Millisecond
 			refused++
