--- a/node/entry/tables.go
+++ b/node/entry/tables.go
@@ -186,8 +186,8 @@
 	if n == nil {
 		return
 	}
-	t.routing.News(n, now)
-	t.snapshots.Note(n.GetReplica(), snapshot.Range{
+	t.routing.ApplyReport(n, now)
+	t.snapshots.Update(n.GetReplica(), snapshot.Range{
 		Oldest: n.GetOldestSnapshot(),
 		Newest: n.GetNewestSnapshot(),
 	})
--- a/node/execute/claims.go
+++ b/node/execute/claims.go
@@ -18,13 +18,13 @@
 // not wait for it at all.
 func (x *Executor) claim(ctx context.Context, r *run, a dispatch.Claim) dispatch.Event {
 	if !x.gate.enter(time.Now()) {
-		return dispatch.ClaimWritten{Result: dispatch.WriteRefused}
+		return dispatch.ClaimWritten{Result: dispatch.WriteFailed}
 	}
 	ctx, cancel := context.WithTimeout(ctx, x.opts.ClaimTimeout)
 	defer cancel()
 	value, err := proto.Marshal(a.Value)
 	if err != nil {
-		return dispatch.ClaimWritten{Result: dispatch.WriteRefused}
+		return dispatch.ClaimWritten{Result: dispatch.WriteFailed}
 	}
 	x.stats.claimWrites.Add(1)
 	revision, err := x.opts.Claims.CompareAndSwap(ctx, r.claimKey, a.Revision, value)
@@ -33,12 +33,12 @@
 }
 
 // settle writes the final claim, under the retention's lease if there is one.
-func (x *Executor) settle(ctx context.Context, r *run, a dispatch.Settle) dispatch.Event {
+func (x *Executor) settle(ctx context.Context, r *run, a dispatch.CompleteClaim) dispatch.Event {
 	ctx, cancel := context.WithTimeout(ctx, x.opts.ClaimTimeout)
 	defer cancel()
 	value, err := proto.Marshal(a.Value)
 	if err != nil {
-		return dispatch.ClaimWritten{Result: dispatch.WriteRefused}
+		return dispatch.ClaimWritten{Result: dispatch.WriteFailed}
 	}
 	x.stats.settleWrites.Add(1)
 	lease := x.retention.lease(ctx, time.Now())
@@ -48,7 +48,7 @@
 	revision, err := x.opts.Leases.CompareAndSwapLeased(ctx, r.claimKey, a.Revision, value, lease)
 	if errors.Is(err, platform.ErrNotFound) {
 		x.retention.forget(lease)
-		return dispatch.ClaimWritten{Result: dispatch.WriteRefused}
+		return dispatch.ClaimWritten{Result: dispatch.WriteFailed}
 	}
 	return written(revision, err)
 }
@@ -62,9 +62,9 @@
 	case errors.Is(err, platform.ErrUnavailable),
 		errors.Is(err, platform.ErrBudget),
 		errors.Is(err, platform.ErrTooLarge):
-		return dispatch.ClaimWritten{Result: dispatch.WriteRefused}
+		return dispatch.ClaimWritten{Result: dispatch.WriteFailed}
 	default:
-		return dispatch.ClaimWritten{Result: dispatch.WriteLost}
+		return dispatch.ClaimWritten{Result: dispatch.WriteUncertain}
 	}
 }
 
--- a/node/execute/run.go
+++ b/node/execute/run.go
@@ -132,14 +132,14 @@
 	defer x.running.Done()
 	defer x.end(r)
 	m := dispatch.New(dispatch.Params{
-		RequestID:      r.id,
-		Keyed:          r.claimKey != "",
-		Digest:         r.digest,
-		Deadline:       r.deadline,
-		ClaimedAt:      time.Now().Unix(),
-		MaxSends:       x.opts.MaxSends,
-		SettleFor:      x.opts.SettleFor,
-		MaxResultBytes: x.opts.MaxResultBytes,
+		RequestID:         r.id,
+		Keyed:             r.claimKey != "",
+		Digest:            r.digest,
+		Deadline:          r.deadline,
+		ClaimedAt:         time.Now().Unix(),
+		MaxSends:          x.opts.MaxSends,
+		CompletionTimeout: x.opts.SettleFor,
+		MaxResultBytes:    x.opts.MaxResultBytes,
 	})
 	d := &driver{x: x, run: r, machine: m, events: make(chan dispatch.Event, 1)}
 	d.drive()
@@ -176,10 +176,10 @@
 			}
 		case <-expired:
 			expired = nil
-			e = dispatch.GivenUp{Reason: pb.Reason_REASON_DEADLINE}
+			e = dispatch.Cancelled{Reason: pb.Reason_REASON_DEADLINE}
 		case <-forsaken:
 			forsaken = nil
-			e = dispatch.GivenUp{Reason: pb.Reason_REASON_CANCELLED}
+			e = dispatch.Cancelled{Reason: pb.Reason_REASON_CANCELLED}
 		}
 		d.apply(d.machine.Step(time.Now(), e))
 	}
@@ -192,7 +192,7 @@
 		switch a := a.(type) {
 		case dispatch.Finish:
 			d.finish(a.Outcome)
-		case dispatch.Learn:
+		case dispatch.Revise:
 			d.run.set(a.Outcome)
 		default:
 			d.outstanding = a
@@ -232,7 +232,7 @@
 // noteUnsettled tells operators about a claim that may stand as PENDING for
 // good.
 func (d *driver) noteUnsettled() {
-	if d.machine.Settled() {
+	if d.machine.ClaimResolved() {
 		return
 	}
 	d.x.stats.unsaved.Add(1)
@@ -250,7 +250,7 @@
 	case dispatch.ReadClaim:
 		d.pause(a.Delay)
 		return d.x.readClaim(ctx, d.run)
-	case dispatch.Settle:
+	case dispatch.CompleteClaim:
 		d.pause(a.Delay)
 		return d.x.settle(ctx, d.run, a)
 	case dispatch.Pick:
--- a/node/owner/batch.go
+++ b/node/owner/batch.go
@@ -40,8 +40,8 @@
 	if deadline, limited := t.ctx.Deadline(); limited {
 		left = deadline.Sub(now)
 	}
-	q := coalesce.Queue{Waiting: len(r.queue), Places: r.limiter.Limit()}
-	return policy.InTime(q, t.req.Typical, left)
+	q := coalesce.Queue{Waiting: len(r.queue), Slots: r.limiter.Limit()}
+	return policy.MeetsDeadline(q, t.req.Typical, left)
 }
 
 // takeGroup removes from the queue the tasks that share the place that its head
@@ -54,7 +54,7 @@
 	}
 	// The place of this call is taken already.
 	free := r.limiter.Limit() - r.limiter.InFlight() + 1
-	size := max(r.coalescing(now).Size(coalesce.Queue{Waiting: reads}, free), 1)
+	size := max(r.coalescing(now).BatchSize(coalesce.Queue{Waiting: reads}, free), 1)
 	group := r.queue[:size:size]
 	r.queue = r.queue[size:]
 	for _, t := range group {
--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1000, 0)
 
-func TestQueryThatCannotFinishIsRefused(t *testing.T) {
+func TestQueryIsRefusedWhenDeadlineIsTooShort(t *testing.T) {
 	c := qt.New(t)
 	a := admission.New(admission.Params{})
 	d := a.Admit(start, 0, 9*time.Millisecond, 10*time.Millisecond)
@@ -90,7 +90,7 @@
 
 // Entrants ask for three times what the backend servers bear. Marshals' lookups
 // go on as before: none is refused, and their latency stays low.
-func TestHigherClassDisplacesLowerOne(t *testing.T) {
+func TestHigherClassDisplacesLowerClassUnderOverload(t *testing.T) {
 	c := qt.New(t)
 	s := newServer()
 	s.run(10*time.Second, 50, 50)
@@ -106,7 +106,7 @@
 
 // Lookups alone are more than the backend servers bear. Entrants are refused,
 // but not starved: about one query in twenty is theirs.
-func TestLowerClassKeepsASmallShare(t *testing.T) {
+func TestLowerClassKeepsMinimumShareUnderOverload(t *testing.T) {
 	c := qt.New(t)
 	s := newServer()
 	s.run(10*time.Second, 50, 50)
@@ -117,7 +117,7 @@
 
 // The service becomes three times slower for good, at a load that it still
 // bears. Latency alone looks like overload; the rate must come back.
-func TestSlowerServiceIsNotTakenForOverload(t *testing.T) {
+func TestRateRecoversWhenServiceBecomesSlower(t *testing.T) {
 	c := qt.New(t)
 	s := newServer()
 	s.run(10*time.Second, 20, 20)
@@ -129,7 +129,7 @@
 
 // All backend servers hang, so that nothing ends and no latency is seen. The
 // node must stop admitting long before its bound on running queries.
-func TestNothingEnds(t *testing.T) {
+func TestAdmissionStopsWhenNoQueryEnds(t *testing.T) {
 	c := qt.New(t)
 	s := newServer()
 	s.run(10*time.Second, 100, 100)
--- a/policy/bench/flips.go
+++ b/policy/bench/flips.go
@@ -85,7 +85,7 @@
 
 func (n *node) noteSnapshot(news *pb.ReplicaNews) {
 	n.newest = max(n.newest, news.GetNewestSnapshot())
-	n.snapshots.Note(news.GetReplica(), snapshot.Range{
+	n.snapshots.Update(news.GetReplica(), snapshot.Range{
 		Oldest: news.GetOldestSnapshot(), Newest: news.GetNewestSnapshot(),
 	})
 }
--- a/policy/bench/node.go
+++ b/policy/bench/node.go
@@ -189,7 +189,7 @@
 	now := n.run.loop.now()
 	took := now.Sub(a.at)
 	n.routing.Done(s.Replica.Name, now, took, routingResult(r))
-	n.routing.News(r.GetNews(), now)
+	n.routing.ApplyReport(r.GetNews(), now)
 	n.noteSnapshot(r.GetNews())
 	if r.GetReason() == pb.Reason_REASON_UNSPECIFIED &&
 		r.GetNews().GetState() == pb.ReplicaState_REPLICA_STATE_WARM {
--- a/policy/coalesce/coalesce.go
+++ b/policy/coalesce/coalesce.go
@@ -14,12 +14,12 @@
 type Queue struct {
 	// Waiting subrequests.
 	Waiting int
-	// Places is how many calls may be in flight at once.
-	Places int
+	// Slots is how many calls may be in flight at once.
+	Slots int
 }
 
-// On reports whether calls may carry more than one subrequest.
-func (p Policy) On() bool {
+// Enabled reports whether calls may carry more than one subrequest.
+func (p Policy) Enabled() bool {
 	return p.MaxBatch > 1
 }
 
@@ -30,25 +30,25 @@
 	return waiting / max(p.MaxBatch, 1)
 }
 
-// InTime reports whether a subrequest that joins the queue's end can be answered
+// MeetsDeadline reports whether a subrequest that joins the queue's end can be answered
 // in the time that is left. All places have to turn over once for each full round
 // of calls ahead of it, and then its own call takes the typical time. One that
 // cannot is better refused at once: another replica may still answer it. Without
 // coalescing, or a typical time, nothing is refused here.
-func (p Policy) InTime(q Queue, typical, left time.Duration) bool {
-	if !p.On() || typical <= 0 {
+func (p Policy) MeetsDeadline(q Queue, typical, left time.Duration) bool {
+	if !p.Enabled() || typical <= 0 {
 		return true
 	}
-	rounds := p.Calls(q.Waiting) / max(q.Places, 1)
+	rounds := p.Calls(q.Waiting) / max(q.Slots, 1)
 	return left >= time.Duration(rounds+1)*typical
 }
 
-// Size returns how many waiting subrequests go with the next call when that many
+// BatchSize returns how many waiting subrequests go with the next call when that many
 // places are free, this call's among them. They are spread over the free places:
 // a call that carries fewer is answered sooner, and nothing is saved by leaving a
 // place empty while subrequests wait.
-func (p Policy) Size(q Queue, free int) int {
-	if !p.On() || q.Waiting <= 1 {
+func (p Policy) BatchSize(q Queue, free int) int {
+	if !p.Enabled() || q.Waiting <= 1 {
 		return min(q.Waiting, 1)
 	}
 	free = max(free, 1)
--- a/policy/coalesce/coalesce_test.go
+++ b/policy/coalesce/coalesce_test.go
@@ -9,7 +9,7 @@
 	"github.com/carobmill/carobmill/policy/coalesce"
 )
 
-func TestWaitingSubrequestsShareTheNextCalls(t *testing.T) {
+func TestBatchSizeSpreadsWaitingSubrequestsOverFreeSlots(t *testing.T) {
 	// Nine wait. With one place free they go together, as far as a call takes
 	// them; with three free they are spread, and none stays behind. Without
 	// coalescing each goes alone.
@@ -18,20 +18,20 @@
 		{0, 9, 1, 1}, {1, 9, 1, 1}, {32, 0, 1, 0}, {32, 9, 0, 9},
 	} {
 		p := coalesce.Policy{MaxBatch: test.most}
-		got := p.Size(coalesce.Queue{Waiting: test.waiting}, test.free)
+		got := p.BatchSize(coalesce.Queue{Waiting: test.waiting}, test.free)
 		qt.Check(t, got, qt.Equals, test.want, qt.Commentf("%+v", test))
 	}
 }
 
-func TestHopelessSubrequestsDoNotWait(t *testing.T) {
+func TestMeetsDeadlineIsFalseWhenQueueIsTooLong(t *testing.T) {
 	// Two places and calls of four: with 16 waiting, two full rounds go before a
 	// newcomer, which is answered 3 typical times from now. With less left it would
 	// only make others late; so it is refused while another replica can answer it.
 	const typical = 5 * time.Millisecond
-	q := coalesce.Queue{Waiting: 16, Places: 2}
+	q := coalesce.Queue{Waiting: 16, Slots: 2}
 	on := coalesce.Policy{MaxBatch: 4}
-	qt.Assert(t, on.InTime(q, typical, 15*time.Millisecond), qt.IsTrue)
-	qt.Assert(t, on.InTime(q, typical, 14*time.Millisecond), qt.IsFalse)
-	qt.Assert(t, on.InTime(q, 0, time.Millisecond), qt.IsTrue)
-	qt.Assert(t, coalesce.Policy{}.InTime(q, typical, time.Millisecond), qt.IsTrue)
+	qt.Assert(t, on.MeetsDeadline(q, typical, 15*time.Millisecond), qt.IsTrue)
+	qt.Assert(t, on.MeetsDeadline(q, typical, 14*time.Millisecond), qt.IsFalse)
+	qt.Assert(t, on.MeetsDeadline(q, 0, time.Millisecond), qt.IsTrue)
+	qt.Assert(t, coalesce.Policy{}.MeetsDeadline(q, typical, time.Millisecond), qt.IsTrue)
 }
--- a/policy/dispatch/action.go
+++ b/policy/dispatch/action.go
@@ -7,7 +7,7 @@
 )
 
 // Action is what the runtime must do next. At most one action other than Finish
-// and Learn is outstanding at a time.
+// and Revise is outstanding at a time.
 type Action interface{ action() }
 
 // Claim writes Value to the claim's key by compare-and-swap at Revision (0:
@@ -40,27 +40,27 @@
 	Outcome Outcome
 }
 
-// Learn is a better outcome than Finish told, because a reply came after the
+// Revise is a better outcome than Finish told, because a reply came after the
 // caller had been answered. For later submissions of the same key.
-type Learn struct {
+type Revise struct {
 	Outcome Outcome
 }
 
-// Settle writes the final claim by compare-and-swap at Revision after Delay.
+// CompleteClaim writes the final claim by compare-and-swap at Revision after Delay.
 // Answered by ClaimWritten.
-type Settle struct {
+type CompleteClaim struct {
 	Revision uint64
 	Value    *pb.Claim
 	Delay    time.Duration
 }
 
-func (Claim) action()     {}
-func (ReadClaim) action() {}
-func (Pick) action()      {}
-func (Send) action()      {}
-func (Finish) action()    {}
-func (Learn) action()     {}
-func (Settle) action()    {}
+func (Claim) action()         {}
+func (ReadClaim) action()     {}
+func (Pick) action()          {}
+func (Send) action()          {}
+func (Finish) action()        {}
+func (Revise) action()        {}
+func (CompleteClaim) action() {}
 
 // Outcome is what the caller is told.
 type Outcome struct {
--- a/policy/dispatch/claim.go
+++ b/policy/dispatch/claim.go
@@ -27,7 +27,7 @@
 	switch e.Result {
 	case WriteDone:
 		return m.hold(now, e.Revision)
-	case WriteLost, WriteConflict:
+	case WriteUncertain, WriteConflict:
 		// A conflict leaves the same doubt as a lost answer: something on the way
 		// may have repeated our write, and the answer is that of the second copy.
 		m.doubt = true
--- a/policy/dispatch/dispatch_test.go
+++ b/policy/dispatch/dispatch_test.go
@@ -27,7 +27,7 @@
 
 // life drives one world through random steps and then lets it come to rest.
 func life(t *rapid.T, broken simulation.Variant) {
-	w := simulation.NewWorld(broken)
+	w := simulation.NewEnvironment(broken)
 	submit := func(t *rapid.T) {
 		key := rapid.SampledFrom([]string{"k1", "k1", "k1", "k2", ""}).Draw(t, "key")
 		body := rapid.SampledFrom([]string{"fee", "fee", "fee", "fee", "penalty"}).Draw(t, "body")
@@ -35,7 +35,7 @@
 	}
 	withBusy := func(do func(*rapid.T, *simulation.Submission)) func(*rapid.T) {
 		return func(t *rapid.T) {
-			if busy := w.Busy(); len(busy) > 0 {
+			if busy := w.Outstanding(); len(busy) > 0 {
 				do(t, busy[simulation.Draw(t, "which", len(busy))])
 			}
 		}
@@ -46,10 +46,10 @@
 		"step1":  step,
 		"step2":  step,
 		"step3":  step,
-		"land":   w.Land,
+		"land":   w.DeliverOne,
 		"pass":   func(t *rapid.T) { w.Now = w.Now.Add(time.Duration(simulation.Draw(t, "seconds", 8)) * time.Second) },
 		"give up": withBusy(func(_ *rapid.T, s *simulation.Submission) {
-			w.Apply(s, s.Machine.Step(w.Now, dispatch.GivenUp{Reason: pb.Reason_REASON_DEADLINE}))
+			w.Apply(s, s.Machine.Step(w.Now, dispatch.Cancelled{Reason: pb.Reason_REASON_DEADLINE}))
 		}),
 		"crash": withBusy(func(t *rapid.T, s *simulation.Submission) {
 			if simulation.Draw(t, "crash", 4) == 0 {
@@ -58,62 +58,62 @@
 		}),
 		"": func(t *rapid.T) { check(t, w) },
 	})
-	w.Rest(t)
+	w.Drain(t)
 	check(t, w)
 	checkAtRest(t, w)
 }
 
 // check holds what must be true at every moment.
-func check(t *rapid.T, w *simulation.World) {
+func check(t *rapid.T, w *simulation.Environment) {
 	for key, n := range w.Runs {
 		if n > 1 {
 			t.Fatalf("%s ran %d times", key, n)
 		}
 	}
-	for _, s := range w.All {
-		for _, told := range s.Told {
+	for _, s := range w.Submissions {
+		for _, told := range s.Reports {
 			checkTold(t, w, s, told)
 		}
 	}
 }
 
-func checkTold(t *rapid.T, w *simulation.World, s *simulation.Submission, told simulation.Told) {
+func checkTold(t *rapid.T, w *simulation.Environment, s *simulation.Submission, told simulation.Report) {
 	o := told.Outcome
 	switch o.Evidence {
 	case pb.Evidence_EVIDENCE_NOT_RUN:
-		if w.Runner[s.Key] == s.ID {
+		if w.LastRunner[s.Key] == s.ID {
 			t.Fatalf("%s was told not run (%v) and ran", s.ID, o.Reason)
 		}
 		if o.Reason != pb.Reason_REASON_KEY_REUSED && told.Ran > 0 {
 			t.Fatalf("%s was told not run (%v) after its key %s had run", s.ID, o.Reason, s.Key)
 		}
 	case pb.Evidence_EVIDENCE_RAN:
-		if w.Runner[s.Key] != o.RequestID || string(o.Result) != o.RequestID {
-			t.Fatalf("%s was told that %s ran with %q, but %q ran", s.ID, o.RequestID, o.Result, w.Runner[s.Key])
+		if w.LastRunner[s.Key] != o.RequestID || string(o.Result) != o.RequestID {
+			t.Fatalf("%s was told that %s ran with %q, but %q ran", s.ID, o.RequestID, o.Result, w.LastRunner[s.Key])
 		}
 	}
-	if !o.Sent && w.Runner[s.Key] == s.ID {
+	if !o.Sent && w.LastRunner[s.Key] == s.ID {
 		t.Fatalf("%s was told that it was not sent, and ran", s.ID)
 	}
 }
 
 // checkAtRest holds what must be true when the faults are over.
-func checkAtRest(t *rapid.T, w *simulation.World) {
-	for _, s := range w.All {
+func checkAtRest(t *rapid.T, w *simulation.Environment) {
+	for _, s := range w.Submissions {
 		if !s.Crashed && (s.Finished != 1 || !s.Machine.Done()) {
 			t.Fatalf("%s answered %d times, done %v", s.ID, s.Finished, s.Machine.Done())
 		}
 	}
 	// A retry of a key that met no doubt learns the outcome or runs.
-	for _, s := range w.All {
-		if w.Doubted[s.Key] || s.Key == s.ID {
+	for _, s := range w.Submissions {
+		if w.Uncertain[s.Key] || s.Key == s.ID {
 			continue
 		}
 		retry := w.Submit(s.Key, s.Digest, time.Hour)
-		for retry.Todo != nil {
+		for retry.Pending != nil {
 			w.Step(t, retry, false)
 		}
-		o := retry.Told[0].Outcome
+		o := retry.Reports[0].Outcome
 		if o.Evidence != pb.Evidence_EVIDENCE_RAN && o.Reason != pb.Reason_REASON_KEY_REUSED {
 			t.Fatalf("retry of %s at rest: %v %v", s.Key, o.Evidence, o.Reason)
 		}
@@ -134,14 +134,14 @@
 		}},
 		"a lost answer to a claim counts as claimed": {OnEvent: func(e dispatch.Event, a dispatch.Action) dispatch.Event {
 			c, ok := a.(dispatch.Claim)
-			if ok && e.(dispatch.ClaimWritten).Result == dispatch.WriteLost {
+			if ok && e.(dispatch.ClaimWritten).Result == dispatch.WriteUncertain {
 				return dispatch.ClaimWritten{Result: dispatch.WriteDone, Revision: c.Revision + 1}
 			}
 			return e
 		}},
 		"without the platform the request goes on": {OnEvent: func(e dispatch.Event, a dispatch.Action) dispatch.Event {
 			c, ok := a.(dispatch.Claim)
-			if ok && e.(dispatch.ClaimWritten).Result == dispatch.WriteRefused {
+			if ok && e.(dispatch.ClaimWritten).Result == dispatch.WriteFailed {
 				return dispatch.ClaimWritten{Result: dispatch.WriteDone, Revision: c.Revision + 1}
 			}
 			return e
@@ -167,15 +167,15 @@
 			return a
 		}},
 		"a settle says not run whatever happened": {OnAction: func(a dispatch.Action) dispatch.Action {
-			if s, ok := a.(dispatch.Settle); ok {
+			if s, ok := a.(dispatch.CompleteClaim); ok {
 				s.Value.Evidence = pb.Evidence_EVIDENCE_NOT_RUN
 				return s
 			}
 			return a
 		}},
 		"a failed settle is not tried again": {OnEvent: func(e dispatch.Event, a dispatch.Action) dispatch.Event {
-			_, ok := a.(dispatch.Settle)
-			if ok && e.(dispatch.ClaimWritten).Result == dispatch.WriteRefused {
+			_, ok := a.(dispatch.CompleteClaim)
+			if ok && e.(dispatch.ClaimWritten).Result == dispatch.WriteFailed {
 				return dispatch.ClaimWritten{Result: dispatch.WriteDone}
 			}
 			return e
--- a/policy/dispatch/event.go
+++ b/policy/dispatch/event.go
@@ -15,10 +15,10 @@
 	WriteDone WriteResult = iota
 	// WriteConflict means: the key is at another revision.
 	WriteConflict
-	// WriteLost means: the answer was lost; the write took effect, or will, or not.
-	WriteLost
-	// WriteRefused means: the platform could not be asked; nothing is written.
-	WriteRefused
+	// WriteUncertain means: the answer was lost; the write took effect, or will, or not.
+	WriteUncertain
+	// WriteFailed means: the platform could not be asked; nothing is written.
+	WriteFailed
 )
 
 // ClaimWritten answers Claim and Settle.
@@ -63,9 +63,9 @@
 	Result   []byte
 }
 
-// GivenUp tells that nobody waits for the outcome any longer: the deadline
+// Cancelled tells that nobody waits for the outcome any longer: the deadline
 // passed or the caller cancelled. It may come at any time.
-type GivenUp struct {
+type Cancelled struct {
 	Reason pb.Reason
 }
 
@@ -73,4 +73,4 @@
 func (ClaimRead) event()    {}
 func (Picked) event()       {}
 func (Replied) event()      {}
-func (GivenUp) event()      {}
+func (Cancelled) event()    {}
--- a/policy/dispatch/machine.go
+++ b/policy/dispatch/machine.go
@@ -11,9 +11,9 @@
 	// DefaultMaxSends bounds how often one request is sent, refusals included. A
 	// shard of 3 replicas has 4 rounds.
 	DefaultMaxSends = 12
-	// DefaultSettleFor is how long a settle is retried before the claim stays
+	// DefaultCompletionTimeout is how long a settle is retried before the claim stays
 	// PENDING for good.
-	DefaultSettleFor = 10 * time.Minute
+	DefaultCompletionTimeout = 10 * time.Minute
 	// DefaultMaxResultBytes is the largest result kept in a claim.
 	DefaultMaxResultBytes = 64 << 10
 
@@ -48,9 +48,9 @@
 	// ClaimedAt is the wall-clock time in seconds that the claim shows operators.
 	ClaimedAt int64
 	// MaxSends, SettleFor and MaxResultBytes take the defaults when 0.
-	MaxSends       int
-	SettleFor      time.Duration
-	MaxResultBytes int
+	MaxSends          int
+	CompletionTimeout time.Duration
+	MaxResultBytes    int
 }
 
 type phase int
@@ -105,8 +105,8 @@
 	if p.MaxSends == 0 {
 		p.MaxSends = DefaultMaxSends
 	}
-	if p.SettleFor == 0 {
-		p.SettleFor = DefaultSettleFor
+	if p.CompletionTimeout == 0 {
+		p.CompletionTimeout = DefaultCompletionTimeout
 	}
 	if p.MaxResultBytes == 0 {
 		p.MaxResultBytes = DefaultMaxResultBytes
@@ -125,8 +125,8 @@
 // Done reports that no action is outstanding and none will come.
 func (m *Machine) Done() bool { return m.phase == phaseDone }
 
-// Settled reports that no claim of this request can be left in doubt.
-func (m *Machine) Settled() bool { return m.phase == phaseDone && !m.unsettled }
+// ClaimResolved reports that no claim of this request can be left in doubt.
+func (m *Machine) ClaimResolved() bool { return m.phase == phaseDone && !m.unsettled }
 
 // Step takes an event and returns what to do. An event that answers nothing
 // outstanding is dropped.
@@ -140,7 +140,7 @@
 		return m.picked(now, e)
 	case Replied:
 		return m.replied(now, e)
-	case GivenUp:
+	case Cancelled:
 		return m.givenUp(e)
 	}
 	return nil
@@ -270,7 +270,7 @@
 
 // givenUp answers the caller at once. What is outstanding goes on, so that the
 // claim ends with what really happened.
-func (m *Machine) givenUp(e GivenUp) []Action {
+func (m *Machine) givenUp(e Cancelled) []Action {
 	if m.finished || m.phase == phaseDone {
 		return nil
 	}
@@ -323,7 +323,7 @@
 func (m *Machine) end(now time.Time, o Outcome) []Action {
 	var actions []Action
 	if m.finished {
-		actions = []Action{Learn{Outcome: o}}
+		actions = []Action{Revise{Outcome: o}}
 	} else {
 		actions = m.tell(o)
 	}
--- a/policy/dispatch/settle.go
+++ b/policy/dispatch/settle.go
@@ -13,7 +13,7 @@
 
 // settle writes the outcome into the claim that is held.
 func (m *Machine) settle(delay time.Duration) Action {
-	return Settle{Revision: m.revision, Value: m.settled(m.final), Delay: delay}
+	return CompleteClaim{Revision: m.revision, Value: m.settled(m.final), Delay: delay}
 }
 
 func (m *Machine) settled(o Outcome) *pb.Claim {
@@ -46,7 +46,7 @@
 // backOff returns how long to wait before the next try at the platform; false
 // when tries have gone on for long enough and the claim stays as it is.
 func (m *Machine) backOff(now time.Time) (time.Duration, bool) {
-	if now.Sub(m.settling) >= m.p.SettleFor {
+	if now.Sub(m.settling) >= m.p.CompletionTimeout {
 		m.phase = phaseDone
 		m.unsettled = true
 		return 0, false
--- a/policy/dispatch/simulation/world.go
+++ b/policy/dispatch/simulation/world.go
@@ -10,18 +10,18 @@
 	"github.com/carobmill/carobmill/policy/dispatch"
 )
 
-// World is the oracle: a key-value store whose answers can be lost, late or
+// Environment is the oracle: a key-value store whose answers can be lost, late or
 // from the past, and a backend service that counts what it ran.
-type World struct {
+type Environment struct {
 	Now time.Time
 	// Runs counts by idempotency key, or by request id for requests without one.
 	Runs map[string]int
-	// Runner is the id of the request that ran last, by the same key.
-	Runner map[string]string
-	// Doubted keys met a crash or a send whose fate the sender could not know.
-	Doubted map[string]bool
-	// All holds every submission, oldest first.
-	All []*Submission
+	// LastRunner is the id of the request that ran last, by the same key.
+	LastRunner map[string]string
+	// Uncertain keys met a crash or a send whose fate the sender could not know.
+	Uncertain map[string]bool
+	// Submissions holds every submission, oldest first.
+	Submissions []*Submission
 
 	// history holds every revision of a claim, oldest first.
 	history map[string][]version
@@ -48,93 +48,93 @@
 	// ID is the request id, Key the idempotency key or the id without one.
 	ID, Key, Digest string
 	Machine         *dispatch.Machine
-	// Todo is the outstanding action; nil when the machine waits for none.
-	Todo dispatch.Action
+	// Pending is the outstanding action; nil when the machine waits for none.
+	Pending dispatch.Action
 	// Crashed says that the node of the request ended.
 	Crashed bool
 	// Finished counts the final answers to the caller.
 	Finished int
-	// Told holds what the caller was told, oldest first.
-	Told []Told
+	// Reports holds what the caller was told, oldest first.
+	Reports []Report
 }
 
-// Told is an outcome and what was true of its key when it was told.
-type Told struct {
+// Report is an outcome and what was true of its key when it was told.
+type Report struct {
 	Outcome dispatch.Outcome
 	// Ran counts runs so far and sends that may still run.
 	Ran int
 }
 
-// NewWorld returns a world without requests, whose machines have the faults of a
+// NewEnvironment returns a world without requests, whose machines have the faults of a
 // variant; the zero Variant has none.
-func NewWorld(broken Variant) *World {
-	return &World{
-		Now:     time.Unix(1000, 0),
-		Runs:    make(map[string]int),
-		Runner:  make(map[string]string),
-		Doubted: make(map[string]bool),
-		history: make(map[string][]version),
-		broken:  broken,
+func NewEnvironment(broken Variant) *Environment {
+	return &Environment{
+		Now:        time.Unix(1000, 0),
+		Runs:       make(map[string]int),
+		LastRunner: make(map[string]string),
+		Uncertain:  make(map[string]bool),
+		history:    make(map[string][]version),
+		broken:     broken,
 	}
 }
 
 // Submit starts a request, without an idempotency key when key is empty, whose
 // deadline is left from now.
-func (w *World) Submit(key, digest string, left time.Duration) *Submission {
-	s := &Submission{ID: fmt.Sprintf("r%d", len(w.All)), Key: key, Digest: digest}
+func (w *Environment) Submit(key, digest string, left time.Duration) *Submission {
+	s := &Submission{ID: fmt.Sprintf("r%d", len(w.Submissions)), Key: key, Digest: digest}
 	s.Machine = dispatch.New(dispatch.Params{
-		RequestID: s.ID,
-		Keyed:     key != "",
-		Digest:    digest,
-		Deadline:  w.Now.Add(left),
-		SettleFor: 1000 * time.Hour,
+		RequestID:         s.ID,
+		Keyed:             key != "",
+		Digest:            digest,
+		Deadline:          w.Now.Add(left),
+		CompletionTimeout: 1000 * time.Hour,
 	})
 	if key == "" {
 		s.Key = s.ID
 	}
-	w.All = append(w.All, s)
+	w.Submissions = append(w.Submissions, s)
 	w.Apply(s, s.Machine.Start(w.Now))
 	return s
 }
 
 // Apply takes over the actions that a machine asked for. It panics when the
 // machine asks for a second one before the answer to the first.
-func (w *World) Apply(s *Submission, actions []dispatch.Action) {
+func (w *Environment) Apply(s *Submission, actions []dispatch.Action) {
 	for _, a := range w.broken.actions(actions) {
 		switch a := a.(type) {
 		case dispatch.Finish:
 			s.Finished++
 			w.tell(s, a.Outcome)
-		case dispatch.Learn:
+		case dispatch.Revise:
 			w.tell(s, a.Outcome)
 		default:
-			if s.Todo != nil {
+			if s.Pending != nil {
 				panic("two actions outstanding")
 			}
-			s.Todo = a
+			s.Pending = a
 		}
 	}
 }
 
-func (w *World) tell(s *Submission, o dispatch.Outcome) {
+func (w *Environment) tell(s *Submission, o dispatch.Outcome) {
 	ran := w.Runs[s.Key]
 	for _, late := range w.sends {
 		if late.Key == s.Key {
 			ran++
 		}
 	}
-	s.Told = append(s.Told, Told{Outcome: o, Ran: ran})
+	s.Reports = append(s.Reports, Report{Outcome: o, Ran: ran})
 }
 
 // Step carries out the outstanding action of a Submission with a drawn fault.
-func (w *World) Step(t *rapid.T, s *Submission, faults bool) {
-	a := s.Todo
-	s.Todo = nil
+func (w *Environment) Step(t *rapid.T, s *Submission, faults bool) {
+	a := s.Pending
+	s.Pending = nil
 	var e dispatch.Event
 	switch a := a.(type) {
 	case dispatch.Claim:
 		e = w.write(t, s, a.Revision, a.Value, faults)
-	case dispatch.Settle:
+	case dispatch.CompleteClaim:
 		e = w.write(t, s, a.Revision, a.Value, faults)
 	case dispatch.ReadClaim:
 		e = w.read(t, s, faults)
@@ -150,7 +150,7 @@
 	w.Apply(s, s.Machine.Step(w.Now, w.broken.event(e, a)))
 }
 
-func (w *World) write(t *rapid.T, s *Submission, at uint64, claim *pb.Claim, faults bool) dispatch.Event {
+func (w *Environment) write(t *rapid.T, s *Submission, at uint64, claim *pb.Claim, faults bool) dispatch.Event {
 	fate := 0
 	if faults {
 		fate = Draw(t, "write", 8)
@@ -158,12 +158,12 @@
 	switch fate {
 	case 1:
 		w.swap(s.Key, at, claim)
-		return dispatch.ClaimWritten{Result: dispatch.WriteLost}
+		return dispatch.ClaimWritten{Result: dispatch.WriteUncertain}
 	case 2:
 		w.writes = append(w.writes, lateWrite{key: s.Key, at: at, claim: claim})
-		return dispatch.ClaimWritten{Result: dispatch.WriteLost}
+		return dispatch.ClaimWritten{Result: dispatch.WriteUncertain}
 	case 3:
-		return dispatch.ClaimWritten{Result: dispatch.WriteRefused}
+		return dispatch.ClaimWritten{Result: dispatch.WriteFailed}
 	case 4:
 		// Applied, then replayed on the way: the second copy's answer comes back.
 		w.swap(s.Key, at, claim)
@@ -175,7 +175,7 @@
 	return dispatch.ClaimWritten{Result: dispatch.WriteDone, Revision: rev}
 }
 
-func (w *World) swap(key string, at uint64, claim *pb.Claim) (uint64, bool) {
+func (w *Environment) swap(key string, at uint64, claim *pb.Claim) (uint64, bool) {
 	h := w.history[key]
 	var latest uint64
 	if len(h) > 0 {
@@ -189,7 +189,7 @@
 	return w.rev, true
 }
 
-func (w *World) read(t *rapid.T, s *Submission, faults bool) dispatch.Event {
+func (w *Environment) read(t *rapid.T, s *Submission, faults bool) dispatch.Event {
 	h := w.history[s.Key]
 	if faults {
 		switch Draw(t, "read", 4) {
@@ -206,7 +206,7 @@
 	return dispatch.ClaimRead{Result: dispatch.ReadFound, Claim: v.claim, Revision: v.rev}
 }
 
-func (w *World) send(t *rapid.T, s *Submission, a dispatch.Send, faults bool) dispatch.Event {
+func (w *Environment) send(t *rapid.T, s *Submission, a dispatch.Send, faults bool) dispatch.Event {
 	e := dispatch.Replied{Attempt: a.Attempt, Evidence: pb.Evidence_EVIDENCE_UNKNOWN, Reason: pb.Reason_REASON_CONNECTION}
 	fate := 0
 	if faults {
@@ -227,17 +227,17 @@
 		e.Result = []byte(s.ID)
 		return e
 	}
-	w.Doubted[s.Key] = true
+	w.Uncertain[s.Key] = true
 	return e
 }
 
-func (w *World) run(s *Submission) {
+func (w *Environment) run(s *Submission) {
 	w.Runs[s.Key]++
-	w.Runner[s.Key] = s.ID
+	w.LastRunner[s.Key] = s.ID
 }
 
-// Land lets one write or send that was on the way arrive, or vanish.
-func (w *World) Land(t *rapid.T) {
+// DeliverOne lets one write or send that was on the way arrive, or vanish.
+func (w *Environment) DeliverOne(t *rapid.T) {
 	n := len(w.writes) + len(w.sends)
 	if n == 0 {
 		return
@@ -261,16 +261,16 @@
 }
 
 // Crash ends a Submission's node; what it was doing may still arrive.
-func (w *World) Crash(t *rapid.T, s *Submission) {
-	w.Doubted[s.Key] = true
+func (w *Environment) Crash(t *rapid.T, s *Submission) {
+	w.Uncertain[s.Key] = true
 	s.Crashed = true
 	arrives := Draw(t, "left the node", 2) == 0
-	switch a := s.Todo.(type) {
+	switch a := s.Pending.(type) {
 	case dispatch.Claim:
 		if arrives {
 			w.writes = append(w.writes, lateWrite{key: s.Key, at: a.Revision, claim: a.Value})
 		}
-	case dispatch.Settle:
+	case dispatch.CompleteClaim:
 		if arrives {
 			w.writes = append(w.writes, lateWrite{key: s.Key, at: a.Revision, claim: a.Value})
 		}
@@ -279,25 +279,25 @@
 			w.sends = append(w.sends, s)
 		}
 	}
-	s.Todo = nil
+	s.Pending = nil
 }
 
-// Busy returns the submissions with something outstanding.
-func (w *World) Busy() []*Submission {
+// Outstanding returns the submissions with something outstanding.
+func (w *Environment) Outstanding() []*Submission {
 	var busy []*Submission
-	for _, s := range w.All {
-		if s.Todo != nil {
+	for _, s := range w.Submissions {
+		if s.Pending != nil {
 			busy = append(busy, s)
 		}
 	}
 	return busy
 }
 
-// Rest ends the faults and lets everything finish.
-func (w *World) Rest(t *rapid.T) {
-	for len(w.Busy())+len(w.writes)+len(w.sends) > 0 {
-		w.Land(t)
-		for _, s := range w.Busy() {
+// Drain ends the faults and lets everything finish.
+func (w *Environment) Drain(t *rapid.T) {
+	for len(w.Outstanding())+len(w.writes)+len(w.sends) > 0 {
+		w.DeliverOne(t)
+		for _, s := range w.Outstanding() {
 			w.Step(t, s, false)
 		}
 	}
--- a/policy/route/route_test.go
+++ b/policy/route/route_test.go
@@ -36,7 +36,7 @@
 
 // Operators look at shares over some hundred requests, of all nodes together: each
 // node with few of them must be near its weights all the time.
-func TestSplitterIsNeverFarFromItsWeights(t *testing.T) {
+func TestSplitterStaysWithinTwoRequestsOfItsWeights(t *testing.T) {
 	c := qt.New(t)
 	parts := []route.Weighted{{Service: "a", Weight: 70}, {Service: "b", Weight: 25}, {Service: "c", Weight: 5}}
 	for _, seed := range []float64{0, 0.3, 0.9} {
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestSplitterLeavesOutPartsWithoutWeight(t *testing.T) {
+func TestSplitterSkipsPartsWithZeroWeight(t *testing.T) {
 	c := qt.New(t)
 	parts := []route.Weighted{{Service: "a"}, {Service: "b", Weight: 1}}
 	s := route.NewSplitter(parts, 0.5)
@@ -61,9 +61,9 @@
 	}
 }
 
-// TestCanGatherNeedsTheLeastCoverageOfOneRoute guards against nodes that keep callers
+// TestCanGatherRequiresMinCoverageOfAnyRoute guards against nodes that keep callers
 // although no gathered answer can be had.
-func TestCanGatherNeedsTheLeastCoverageOfOneRoute(t *testing.T) {
+func TestCanGatherRequiresMinCoverageOfAnyRoute(t *testing.T) {
 	c := qt.New(t)
 	x := route.NewIndex(&route.Configuration{Version: 1, Routes: []route.Route{
 		{Name: "one", Host: "a.example", Prefix: "/1/"},
--- a/policy/routing/routing_test.go
+++ b/policy/routing/routing_test.go
@@ -62,7 +62,7 @@
 
 // One replica of three becomes ten times slower than its siblings. Queries must
 // stop meeting it after a few answers, yet notice its recovery.
-func TestStragglerIsSetAsideAndProbed(t *testing.T) {
+func TestStragglerIsAvoidedAndProbed(t *testing.T) {
 	c := qt.New(t)
 	s := newShard(3)
 	s.run(300)
@@ -77,7 +77,7 @@
 
 // One answer of a replica is slow by chance. It must not lose its share of the
 // requests for long.
-func TestOneSlowAnswerIsForgotten(t *testing.T) {
+func TestOneSlowReplyDoesNotReduceShareForLong(t *testing.T) {
 	c := qt.New(t)
 	s := newShard(2)
 	s.run(100)
@@ -91,7 +91,7 @@
 	c.Assert(s.picked["r1"] > 300, qt.IsTrue, qt.Commentf("%v", s.picked))
 }
 
-func TestSlowerOfTwoReplicasIsFound(t *testing.T) {
+func TestSlowerOfTwoReplicasIsAvoided(t *testing.T) {
 	c := qt.New(t)
 	s := newShard(2)
 	s.latency["r0"] = 10 * normal
@@ -111,7 +111,7 @@
 		t.Run(test.state.String(), func(t *testing.T) {
 			c := qt.New(t)
 			s := newShard(3)
-			s.News(&pb.ReplicaNews{Replica: "r2", State: test.state, Limit: 1}, s.now)
+			s.ApplyReport(&pb.ReplicaNews{Replica: "r2", State: test.state, Limit: 1}, s.now)
 			s.run(10000)
 			c.Assert(s.picked["r2"] <= test.most, qt.IsTrue, qt.Commentf("%v", s.picked))
 			c.Assert(s.picked["r2"] > 0, qt.Equals, test.most > 0)
@@ -124,7 +124,7 @@
 
 // An owner refuses: it is not the owner, or its limit is reached. The replica
 // is well, so its latency must not suffer and it is soon chosen again.
-func TestRefusalIsSoft(t *testing.T) {
+func TestRefusalPausesReplicaAndKeepsItsLatency(t *testing.T) {
 	c := qt.New(t)
 	s := newShard(2)
 	s.run(100)
@@ -141,7 +141,7 @@
 	c.Assert(s.picked["r0"] > 300, qt.IsTrue)
 }
 
-func TestOutOfServiceIsNeverPicked(t *testing.T) {
+func TestReplicaOutOfServiceIsNeverPicked(t *testing.T) {
 	c := qt.New(t)
 	s := newShard(2)
 	s.replicas[0].InService = false
@@ -154,10 +154,10 @@
 
 // The last replica of a shard is chosen whatever its state, apart from one that
 // is out of service: the owner has the final say.
-func TestLastReplicaIsUsed(t *testing.T) {
+func TestLastReplicaIsPickedWhateverItsState(t *testing.T) {
 	c := qt.New(t)
 	s := newShard(1)
-	s.News(&pb.ReplicaNews{Replica: "r0", State: pb.ReplicaState_REPLICA_STATE_LOST}, s.now)
+	s.ApplyReport(&pb.ReplicaNews{Replica: "r0", State: pb.ReplicaState_REPLICA_STATE_LOST}, s.now)
 	c.Assert(s.Pick(s.replicas, s.now).Name, qt.Equals, "r0")
 }
 
@@ -203,11 +203,11 @@
 // The callers' load comes back to a replica as soon as its owner calls it warm:
 // while it was cold it answered eight times slower and refused what was too much,
 // and neither may keep it out as a straggler or as refusing.
-func TestWarmReplicaIsJudgedAnew(t *testing.T) {
+func TestHistoryIsResetWhenReplicaBecomesWarm(t *testing.T) {
 	c := qt.New(t)
 	s := newShard(3)
 	s.run(300)
-	s.News(&pb.ReplicaNews{Replica: "r0", State: pb.ReplicaState_REPLICA_STATE_COLD, Limit: 1}, s.now)
+	s.ApplyReport(&pb.ReplicaNews{Replica: "r0", State: pb.ReplicaState_REPLICA_STATE_COLD, Limit: 1}, s.now)
 	for range 5 {
 		s.Sent("r0", s.now)
 		s.now = s.now.Add(8 * normal)
@@ -215,19 +215,19 @@
 	}
 	s.Sent("r0", s.now)
 	s.Done("r0", s.now, 0, routing.ResultRefused)
-	s.News(&pb.ReplicaNews{Replica: "r0", State: pb.ReplicaState_REPLICA_STATE_WARM, Limit: 3}, s.now)
+	s.ApplyReport(&pb.ReplicaNews{Replica: "r0", State: pb.ReplicaState_REPLICA_STATE_WARM, Limit: 3}, s.now)
 	s.run(300)
 	c.Check(s.picked["r0"] > 50, qt.IsTrue, qt.Commentf("picked %d of 300 times", s.picked["r0"]))
 }
 
 // A cold replica gets copies one after the other, not faster than the pause, and
 // none while one is out, after a refusal, or once it is warm.
-func TestColdReplicaGetsCopiesInTurn(t *testing.T) {
+func TestColdReplicaGetsOneWarmUpCopyAtATime(t *testing.T) {
 	c := qt.New(t)
 	s := newShard(3)
 	s.run(300)
 	c.Assert(s.AnyCold(), qt.IsFalse)
-	s.News(&pb.ReplicaNews{Replica: "r0", State: pb.ReplicaState_REPLICA_STATE_COLD, Limit: 1}, s.now)
+	s.ApplyReport(&pb.ReplicaNews{Replica: "r0", State: pb.ReplicaState_REPLICA_STATE_COLD, Limit: 1}, s.now)
 	copies := 0
 	for range 1000 {
 		if r := s.PickWarmUp(s.replicas, s.now); r != nil {
@@ -243,6 +243,6 @@
 	s.Sent("r0", s.now.Add(-time.Second))
 	s.Done("r0", s.now, 0, routing.ResultRefused)
 	c.Assert(s.PickWarmUp(s.replicas, s.now), qt.IsNil)
-	s.News(&pb.ReplicaNews{Replica: "r0", State: pb.ReplicaState_REPLICA_STATE_WARM, Limit: 3}, s.now)
+	s.ApplyReport(&pb.ReplicaNews{Replica: "r0", State: pb.ReplicaState_REPLICA_STATE_WARM, Limit: 3}, s.now)
 	c.Assert(s.AnyCold(), qt.IsFalse)
 }
--- a/policy/routing/table.go
+++ b/policy/routing/table.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// News applies what an owner reported about a replica.
-func (t *Table) News(news *pb.ReplicaNews, now time.Time) {
+// ApplyReport applies what an owner reported about a replica.
+func (t *Table) ApplyReport(news *pb.ReplicaNews, now time.Time) {
 	r := t.of(news.GetReplica())
 	r.elsewhere = max(int(news.GetInFlight())-r.inFlight, 0)
 	r.limit = int(news.GetLimit())
@@ -164,8 +164,8 @@
 	return pb.ReplicaState_REPLICA_STATE_UNSPECIFIED
 }
 
-// Keep forgets the replicas that the index does not name.
-func (t *Table) Keep(index *config.Index) {
+// Prune forgets the replicas that the index does not name.
+func (t *Table) Prune(index *config.Index) {
 	for name, r := range t.replicas {
 		if index.Replicas[name] != nil {
 			continue
--- a/policy/snapshot/snapshot.go
+++ b/policy/snapshot/snapshot.go
@@ -58,9 +58,9 @@
 	return &Table{held: make(map[string]Range)}
 }
 
-// Note takes in what a replica said it holds. News without snapshots is
+// Update takes in what a replica said it holds. News without snapshots is
 // ignored.
-func (t *Table) Note(replica string, r Range) {
+func (t *Table) Update(replica string, r Range) {
 	if r.Newest == 0 || t.held[replica] == r {
 		return
 	}
@@ -68,8 +68,8 @@
 	t.revision++
 }
 
-// Forget drops what is known of a replica, for example because it restarted.
-func (t *Table) Forget(replica string) {
+// Remove drops what is known of a replica, for example because it restarted.
+func (t *Table) Remove(replica string) {
 	if _, known := t.held[replica]; !known {
 		return
 	}
