--- a/policy/bench/bench_test.go
+++ b/policy/bench/bench_test.go
@@ -36,7 +36,7 @@
 
 // One replica in 30 is ten times slower for good, and one subrequest in a
 // hundred at random. The caller must wait for neither.
-func TestStragglers(t *testing.T) {
+func TestStragglersDoNotDelayQueries(t *testing.T) {
 	for _, size := range []struct {
 		shards, queries int
 	}{{15, 20000}, {100, 4000}, {1700, 400}} {
@@ -44,7 +44,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := kenya(size.shards, 60, size.queries)
-			s.SlowEvery, s.SlowFactor, s.Chance = 30, 10, 0.01
+			s.SlowEvery, s.SlowFactor, s.SlowProbability = 30, 10, 0.01
 			base, ours := both(s)
 			t.Logf("baseline p50 %v p99 %v p99.9 %v coverage %v", bench.Quantile(base.All, 0.5),
 				bench.Quantile(base.All, 0.99), bench.Quantile(base.All, 0.999), base.Coverage)
--- a/policy/bench/bounds/bounds_test.go
+++ b/policy/bench/bounds/bounds_test.go
@@ -12,7 +12,7 @@
 // A figure that grows past its bound, one that is no longer measured, a scenario
 // that nothing bounds and a line that says nothing must each fail the run, or the
 // regression would pass unseen.
-func TestWhatIsNotKeptIsFound(t *testing.T) {
+func TestViolatedMissingAndMalformedBoundsAreReported(t *testing.T) {
 	c := qt.New(t)
 	all, err := bounds.Read(strings.NewReader("# figures\n\nscatter bytes <= 60\nscatter share >= 0.5\n"))
 	c.Assert(err, qt.IsNil)
--- a/policy/bench/flips.go
+++ b/policy/bench/flips.go
@@ -18,20 +18,20 @@
 	laggingPicks = 64
 )
 
-// Flips move the index to a new snapshot at regular times. A replica holds one
+// SnapshotRollout move the index to a new snapshot at regular times. A replica holds one
 // snapshot and drops it when it takes up the next, so that queries lose theirs
 // while they run. The first replicas of all shards flip within the first wave, at
 // random times, the second ones in the second, and so on.
-type Flips struct {
+type SnapshotRollout struct {
 	// Every is the time between two flips; 0 is none.
 	Every time.Duration
 	// Wave is how long one replica of each shard takes.
 	Wave time.Duration
 	// Pin is how queries choose their snapshot.
 	Pin Pin
-	// CarelessEvery makes one replica in so many answer from the snapshot that it
+	// WrongSnapshotEvery makes one replica in so many answer from the snapshot that it
 	// holds when it was asked for another; 0 is none.
-	CarelessEvery int
+	WrongSnapshotEvery int
 }
 
 // Pin is a way to choose the snapshot of a query.
@@ -48,7 +48,7 @@
 
 // planFlips schedules the flips of the whole run.
 func (r *run) planFlips() {
-	f := r.scenario.Flips
+	f := r.scenario.Rollout
 	if f.Every == 0 {
 		return
 	}
@@ -58,7 +58,7 @@
 	for i := 1; time.Duration(i)*f.Every < end; i++ {
 		for position, server := range r.servers {
 			wave := time.Duration(position%r.scenario.Replicas) * f.Wave
-			server.careless = f.CarelessEvery > 0 && position%f.CarelessEvery == 0
+			server.careless = f.WrongSnapshotEvery > 0 && position%f.WrongSnapshotEvery == 0
 			within := time.Duration(rng.Int64N(int64(f.Wave)))
 			r.loop.after(time.Duration(i)*f.Every+wave+within, func() { server.held++ })
 		}
@@ -92,10 +92,10 @@
 
 // Snapshot implements query.Env.
 func (n *node) Snapshot() uint64 {
-	if n.run.scenario.Flips.Every == 0 {
+	if n.run.scenario.Rollout.Every == 0 {
 		return firstSnapshot
 	}
-	if n.starting && n.run.scenario.Flips.Pin == PinNewest {
+	if n.starting && n.run.scenario.Rollout.Pin == PinNewest {
 		return n.newest
 	}
 	return n.snapshots.Choose(n.run.service, usable, n.run.loop.now())
@@ -107,7 +107,7 @@
 func (n *node) pick(shard *config.Shard, pinned uint64, tried func(*config.Replica) bool) *config.Replica {
 	now := n.run.loop.now()
 	worst := snapshot.Unknown
-	if n.run.scenario.Flips.Every == 0 || n.rng.IntN(laggingPicks) == 0 {
+	if n.run.scenario.Rollout.Every == 0 || n.rng.IntN(laggingPicks) == 0 {
 		worst = snapshot.MayHold
 	}
 	for ; worst <= snapshot.MayHold; worst++ {
--- a/policy/bench/flips_test.go
+++ b/policy/bench/flips_test.go
@@ -14,7 +14,7 @@
 // and start over. One replica in five answers from another snapshot than it was asked
 // for. Under 1% start over, and no answer is mixed or partial. Queries that pin
 // the newest snapshot heard of, which not every shard holds yet, exceed that.
-func TestOneFlipAMinute(t *testing.T) {
+func TestSnapshotRolloutEveryMinute(t *testing.T) {
 	t.Parallel()
 	figures := map[string]float64{}
 	for seed := range uint64(flipSeeds) {
@@ -36,6 +36,6 @@
 func flipEachMinute(seed uint64, pin bench.Pin) *bench.Result {
 	s := kenya(15, 16, flipQueries)
 	s.Seed, s.Warmup, s.Policy = seed, 320, bench.Carobmill
-	s.Flips = bench.Flips{Every: time.Minute, Wave: 2 * time.Second, Pin: pin, CarelessEvery: 5}
+	s.Rollout = bench.SnapshotRollout{Every: time.Minute, Wave: 2 * time.Second, Pin: pin, WrongSnapshotEvery: 5}
 	return bench.Run(s)
 }
--- a/policy/bench/node.go
+++ b/policy/bench/node.go
@@ -240,7 +240,7 @@
 
 // surest is what must be known of a replica that is asked beside another.
 func (n *node) surest() snapshot.Holding {
-	if n.run.scenario.Flips.Every == 0 {
+	if n.run.scenario.Rollout.Every == 0 {
 		return snapshot.MayHold
 	}
 	return snapshot.Holds
--- a/policy/bench/overload_test.go
+++ b/policy/bench/overload_test.go
@@ -20,7 +20,7 @@
 	s.Deadline = 250 * time.Millisecond
 	s.Policy = bench.Carobmill
 	if settled {
-		s.Settle = int(s.Rate)
+		s.Transient = int(s.Rate)
 	}
 	r := bench.Run(s)
 	t.Logf("%vx, settled %v: goodput %.0f/s of %.0f/s, high p50 %v p99 %v complete %.4f, low p50 %v p99 %v, complete %d partial %d refused %d",
@@ -35,7 +35,7 @@
 
 // More queries arrive than the backend servers bear. The part that fits is
 // answered as before, lookups first, and each refusal is true and immediate.
-func TestOverload(t *testing.T) {
+func TestGoodputIsSustainedUnderOverload(t *testing.T) {
 	t.Parallel()
 	one, half, three := overload(t, 1, true), overload(t, 1.5, true), overload(t, 3, true)
 	step := overload(t, 3, false)
@@ -54,8 +54,8 @@
 }
 
 // Without admission, three times the capacity leaves next to nothing: the figure
-// that the bounds of TestOverload are to be seen against.
-func TestBaselineCollapsesUnderOverload(t *testing.T) {
+// that the bounds of TestGoodputIsSustainedUnderOverload are to be seen against.
+func TestBaselineGoodputCollapsesUnderOverload(t *testing.T) {
 	t.Parallel()
 	s := kenya(15, 3*capacity, 5400)
 	s.Warmup, s.WarmupRate = 500, capacity/4
--- a/policy/bench/run.go
+++ b/policy/bench/run.go
@@ -94,7 +94,7 @@
 	position := len(r.servers)
 	server := &modelServer{server: server{
 		loop: r.loop, rng: rand.New(rand.NewPCG(s.Seed, uint64(1000+position))),
-		mean: s.Service, slots: s.Slots, slow: 1, chance: s.Chance,
+		mean: s.Service, slots: s.Slots, slow: 1, chance: s.SlowProbability,
 		bears: s.ColdInFlight, held: firstSnapshot, log: serverLog{ran: make(map[int]bool)},
 	}}
 	if s.SlowEvery > 0 && position%s.SlowEvery == s.SlowEvery/4 {
@@ -162,15 +162,15 @@
 	server := r.servers[f.Replica]
 	switch f.Kind {
 	case FaultSilent:
-		server.turnCold(f.Requests)
+		server.turnCold(f.WarmUpRequests)
 	case FaultRestart:
-		server.restart(f.Requests)
+		server.restart(f.WarmUpRequests)
 		r.closeConnections(f.Replica)
 	case FaultDown:
 		server.down = true
-		server.restart(f.Requests)
+		server.restart(f.WarmUpRequests)
 		r.closeConnections(f.Replica)
-		r.loop.after(f.For, func() { server.down = false })
+		r.loop.after(f.Downtime, func() { server.down = false })
 	}
 }
 
@@ -254,8 +254,8 @@
 	for _, s := range r.servers {
 		accepted += s.log.accepted
 		res.Servers = append(res.Servers, ServerResult{
-			Overborne: s.log.overborne, LastOverborne: s.log.lastOverborne, ColdPeak: s.log.coldPeak, Shed: s.log.shed,
-			WarmAt: s.log.warmAt, FullAt: s.full, PerSecond: s.log.perSecond,
+			Excess: s.log.overborne, LastExcess: s.log.lastOverborne, ColdPeak: s.log.coldPeak, Shed: s.log.shed,
+			WarmAt: s.log.warmAt, FullShareAt: s.full, AcceptedPerSecond: s.log.perSecond,
 		})
 	}
 	admitted := r.scenario.uncounted() + r.scenario.Queries - res.Refused
--- a/policy/bench/scenario.go
+++ b/policy/bench/scenario.go
@@ -33,17 +33,17 @@
 	Rate      float64
 	HighShare float64
 	// Queries are counted after Warmup others, which come at WarmupRate, or at
-	// Rate when that is 0, and after Settle more at Rate.
-	Queries, Warmup, Settle int
-	WarmupRate              float64
+	// Rate when that is 0, and after Transient more at Rate.
+	Queries, Warmup, Transient int
+	WarmupRate                 float64
 	// SlowEvery makes one replica in so many SlowFactor times slower; Chance is
 	// the part of subrequests that are ten times slower at random.
-	SlowEvery  int
-	SlowFactor float64
-	Chance     float64
+	SlowEvery       int
+	SlowFactor      float64
+	SlowProbability float64
 	// Faults strike replicas while the run goes on.
-	Faults []Fault
-	Flips  Flips
+	Faults  []Fault
+	Rollout SnapshotRollout
 }
 
 // Fault is something that happens to one replica.
@@ -51,10 +51,10 @@
 	At      time.Duration
 	Kind    FaultKind
 	Replica int
-	// For is how long a replica is down.
-	For time.Duration
-	// Requests is how many a cold replica serves until it is warm.
-	Requests int
+	// Downtime is how long a replica is down.
+	Downtime time.Duration
+	// WarmUpRequests is how many a cold replica serves until it is warm.
+	WarmUpRequests int
 }
 
 // FaultKind says what happens to a replica.
@@ -100,17 +100,17 @@
 
 // ServerResult is one server's own record.
 type ServerResult struct {
-	// Overborne counts requests beyond what the cold server bore, the last one at
-	// LastOverborne; ColdPeak is the most it had in flight.
-	Overborne     int
-	LastOverborne time.Duration
-	ColdPeak      int
-	Shed          int
-	// WarmAt is when the server became warm, FullAt when an owner gave it its
+	// Excess counts requests beyond what the cold server bore, the last one at
+	// LastExcess; ColdPeak is the most it had in flight.
+	Excess     int
+	LastExcess time.Duration
+	ColdPeak   int
+	Shed       int
+	// WarmAt is when the server became warm, FullShareAt when an owner gave it its
 	// full share again.
-	WarmAt, FullAt time.Duration
-	// PerSecond counts the requests accepted in each second of the run.
-	PerSecond []int
+	WarmAt, FullShareAt time.Duration
+	// AcceptedPerSecond counts the requests accepted in each second of the run.
+	AcceptedPerSecond []int
 }
 
 // Goodput returns the complete answers a second.
@@ -127,5 +127,5 @@
 }
 
 func (s Scenario) uncounted() int {
-	return s.Warmup + s.Settle
+	return s.Warmup + s.Transient
 }
--- a/policy/configstate/configstate_test.go
+++ b/policy/configstate/configstate_test.go
@@ -186,7 +186,7 @@
 		"start on the oldest":       {startsOnOldest: true},
 		"write without comparing":   {blindWrite: true},
 	} {
-		t.Run(name, func(t *testing.T) { modeltest.Caught(t, "", acceptanceLife(v)) })
+		t.Run(name, func(t *testing.T) { modeltest.ExpectFailure(t, "", acceptanceLife(v)) })
 	}
 }
 
--- a/policy/dispatch/dispatch_test.go
+++ b/policy/dispatch/dispatch_test.go
@@ -183,7 +183,7 @@
 	}
 	for name, v := range variants {
 		t.Run(name, func(t *testing.T) {
-			modeltest.Caught(t, "", func(t *rapid.T) { life(t, v) })
+			modeltest.ExpectFailure(t, "", func(t *rapid.T) { life(t, v) })
 		})
 	}
 }
--- a/policy/limit/model_test.go
+++ b/policy/limit/model_test.go
@@ -450,7 +450,7 @@
 		{"unseen: keeps authority", "cold server has", tamper{exclusive: true, keepsAuthority: true}},
 	} {
 		t.Run(v.name, func(t *testing.T) {
-			modeltest.Caught(t, v.caught, func(t *rapid.T) { runModel(t, v.tamper) })
+			modeltest.ExpectFailure(t, v.caught, func(t *rapid.T) { runModel(t, v.tamper) })
 		})
 	}
 }
--- a/policy/membership/fuzz_test.go
+++ b/policy/membership/fuzz_test.go
@@ -351,6 +351,6 @@
 		"no refutation":                {noRefutation: true},
 		"gone boots are forgotten":     {goneIsForgotten: true},
 	} {
-		t.Run(name, func(t *testing.T) { modeltest.Caught(t, "", membershipLife(b)) })
+		t.Run(name, func(t *testing.T) { modeltest.ExpectFailure(t, "", membershipLife(b)) })
 	}
 }
--- a/policy/modeltest/modeltest.go
+++ b/policy/modeltest/modeltest.go
@@ -47,9 +47,9 @@
 	os.Exit(m.Run())
 }
 
-// Caught runs a property that a deliberately broken variant must violate, and
+// ExpectFailure runs a property that a deliberately broken variant must violate, and
 // fails the test unless it does so with a message that holds want.
-func Caught(t *testing.T, want string, property func(*rapid.T)) {
+func ExpectFailure(t *testing.T, want string, property func(*rapid.T)) {
 	t.Helper()
 	defer withoutShrinking(t)()
 	r := &recorder{name: t.Name()}
--- a/policy/ownership/claims_test.go
+++ b/policy/ownership/claims_test.go
@@ -398,7 +398,7 @@
 	for name, broken := range variants {
 		t.Run(name, func(t *testing.T) {
 			moves, releases := 0, 0
-			modeltest.Caught(t, "", claimsLife(broken, &moves, &releases))
+			modeltest.ExpectFailure(t, "", claimsLife(broken, &moves, &releases))
 		})
 	}
 }
--- a/policy/query/model_test.go
+++ b/policy/query/model_test.go
@@ -292,7 +292,7 @@
 	}
 	for _, v := range variants {
 		t.Run(v.name, func(t *testing.T) {
-			modeltest.Caught(t, v.caught, func(t *rapid.T) { runModel(t, svc, v.tamper, v.spoil) })
+			modeltest.ExpectFailure(t, v.caught, func(t *rapid.T) { runModel(t, svc, v.tamper, v.spoil) })
 		})
 	}
 }
--- a/policy/sheet/sheet_test.go
+++ b/policy/sheet/sheet_test.go
@@ -39,7 +39,7 @@
 	return s
 }
 
-func TestDefaultsAreStable(t *testing.T) {
+func TestWithDefaultsIsIdempotent(t *testing.T) {
 	c := qt.New(t)
 	s := build(2, 3)
 	c.Assert(sheet.Check(s), qt.HasLen, 0)
@@ -56,7 +56,7 @@
 // A repartitioning adds a generation that names replicas of the old one again.
 // If the two disagree about a replica, a node could send one shard's queries to
 // two addresses and count its slots twice.
-func TestReplicaIsTheSameInEveryGeneration(t *testing.T) {
+func TestCheckRejectsReplicaThatDiffersBetweenGenerations(t *testing.T) {
 	c := qt.New(t)
 	s := build(2, 3)
 	next := proto.CloneOf(s.Services[0].Generations[0])
@@ -75,7 +75,7 @@
 	c.Assert(faults[0].Path, qt.Equals, "services[0].generations[1].first_snapshot")
 }
 
-func TestCompileRefusesAFaultySheet(t *testing.T) {
+func TestCompileRejectsInvalidSheet(t *testing.T) {
 	c := qt.New(t)
 	s := build(1, 1)
 	s.Services[0].Slots = 0
@@ -83,7 +83,7 @@
 	c.Assert(err, qt.ErrorMatches, `sheet has 1 faults, the first: services\[0\].slots: .*`)
 }
 
-func TestCompareNamesEveryChange(t *testing.T) {
+func TestCompareReportsEveryChange(t *testing.T) {
 	c := qt.New(t)
 	old := build(10, 3)
 	c.Assert(sheet.Compare(old, sheet.WithDefaults(old)).Empty(), qt.IsTrue)
@@ -109,7 +109,7 @@
 
 // A cut-off export is still a valid sheet, but lacks a service or many
 // replicas. Publishing it would take them out of service everywhere.
-func TestLossNeedsToBeMeant(t *testing.T) {
+func TestExcessiveLossIsRefusedWithoutAllowLoss(t *testing.T) {
 	c := qt.New(t)
 	old := build(10, 3)
 	small := build(1, 1)
@@ -138,7 +138,7 @@
 // Two data centres are taken out; the shards whose two replicas live there would
 // be missing from every answer. Taking out one of them is fine, and a shard that
 // was unserved before does not stand in the way of other changes.
-func TestLastReplicaInServiceIsGuarded(t *testing.T) {
+func TestLossOfLastReplicaInServiceIsRefused(t *testing.T) {
 	c := qt.New(t)
 	old := build(8, 2)
 	one := proto.CloneOf(old)
@@ -159,7 +159,7 @@
 // Operators repartition: a sheet with a second generation, later one without
 // the first. Neither loses shards. A list of generations that was cut off after
 // the old one does.
-func TestRepartitioningIsNoLoss(t *testing.T) {
+func TestRepartitioningIsNotCountedAsLoss(t *testing.T) {
 	c := qt.New(t)
 	one := build(4, 2)
 	both := proto.CloneOf(one)
@@ -180,7 +180,7 @@
 
 // The platform holds values up to a megabyte. Spread over names and addresses
 // of the length of today, the target's 3,500 replicas must fit well below it.
-func TestSizeAtTheTarget(t *testing.T) {
+func TestConfigurationSizeAtTargetFleet(t *testing.T) {
 	c := qt.New(t)
 	for _, shards := range []int{25, 250, 1750} {
 		cfg, err := sheet.Compile(build(shards, 2), 1, "0f3c9f5e-1111-4222-8333-444455556666", "ops")
