--- a/policy/membership/member.go
+++ b/policy/membership/member.go
@@ -89,24 +89,24 @@
 	MaxChanges int
 	// MaxMembers bounds the table. News of members beyond it is dropped.
 	MaxMembers int
-	// PingSet is the number of living members that a node pings in turn, 0 all. The
+	// PingSetSize is the number of living members that a node pings in turn, 0 all. The
 	// connections that pings keep open then do not grow with the fleet.
-	PingSet int
-	// Retransmit times the base-10 logarithm of the fleet's size, rounded up,
+	PingSetSize int
+	// RetransmitFactor times the base-10 logarithm of the fleet's size, rounded up,
 	// is how often a node passes on one change.
-	Retransmit int
+	RetransmitFactor int
 }
 
 // DefaultParams suit fleets from 2 to 1,000 nodes.
 func DefaultParams() Params {
 	return Params{
-		SuspectTimeout: 800 * time.Millisecond,
-		GoneRetention:  10 * time.Minute,
-		ListLag:        2 * time.Minute,
-		MaxChanges:     64,
-		MaxMembers:     4096,
-		PingSet:        64,
-		Retransmit:     4,
+		SuspectTimeout:   800 * time.Millisecond,
+		GoneRetention:    10 * time.Minute,
+		ListLag:          2 * time.Minute,
+		MaxChanges:       64,
+		MaxMembers:       4096,
+		PingSetSize:      64,
+		RetransmitFactor: 4,
 	}
 }
 
--- a/policy/query/model_test.go
+++ b/policy/query/model_test.go
@@ -290,7 +290,7 @@
 	}
 	for _, v := range variants {
 		t.Run(v.name, func(t *testing.T) {
-			modeltest.Caught(t, v.caught, func(t *rapid.T) { runModel(t, svc, v.corruptReply, v.corruptAnswer) })
+			modeltest.ExpectFailure(t, v.caught, func(t *rapid.T) { runModel(t, svc, v.corruptReply, v.corruptAnswer) })
 		})
 	}
 }
