--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -9,64 +9,66 @@
 const (
 	defaultMaxRunning = 1024
 	defaultLowShare   = 0.05
-	// maxPriority is the lowest class that is told apart.
+	// maxPriority is the lowest priority class. Larger priorities are counted in this
+	// class.
 	maxPriority = 8
-	// minRetryAfter and maxRetryAfter bound what a refused caller is told.
+	// minRetryAfter and maxRetryAfter bound the delay that a refused caller receives.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
-	// refusalWeight makes Pressure follow the last hundred or so queries.
+	// refusalWeight is the weight of one query in the moving average of refusals.
 	refusalWeight = 0.02
-	// pressureGain shuts hedges and retries off when a fifth is refused;
-	// pressureFloor is the part of refusals that counts as none.
+	// Pressure reaches 1 when 1/pressureGain of the queries is refused. It is 0 while
+	// the refused share is below pressureFloor.
 	pressureGain  = 5
 	pressureFloor = 0.01
-	// maxCredit bounds the queries of a lower class admitted in a row for its
-	// kept share.
+	// maxCredit bounds the consecutive queries of a lower class that are admitted
+	// from its reserved share.
 	maxCredit = 4
-	// probeAfter is the time without an admitted query after which one is admitted
-	// although it is expected to take too long.
-	probeAfter = time.Second
+	// probeInterval is the time without an admitted query after which one query is
+	// admitted even though its expected latency exceeds its deadline.
+	probeInterval = time.Second
 )
 
-// Params are a controller's settings; zero values take defaults.
+// Params are the settings of a Controller. Zero values take defaults.
 type Params struct {
-	// MaxRunning bounds the queries that run at once, whatever their rate.
+	// MaxRunning bounds the number of concurrent queries, independent of the rate
+	// limit.
 	MaxRunning int
-	// LowShare is the part of admitted queries kept for lower classes while
-	// higher ones could take everything.
+	// LowShare is the share of admitted queries that is reserved for lower classes
+	// while higher classes could use the whole rate.
 	LowShare float64
 }
 
-// Decision says whether a query runs.
+// Decision is the result of an admission check.
 type Decision struct {
-	// Reason is REASON_UNSPECIFIED when the query was admitted.
+	// Reason is REASON_UNSPECIFIED if the query is admitted.
 	Reason pb.Reason
-	// RetryAfter is when a refused caller should come back.
+	// RetryAfter is the delay after which a refused caller should retry.
 	RetryAfter time.Duration
-	// Probe marks a query that was admitted to find out whether the expected time
-	// still holds.
+	// Probe marks a query that is admitted to check whether the expected latency is
+	// still accurate.
 	Probe bool
 }
 
-// Admitted reports whether the query runs.
+// Admitted reports whether the query may run.
 func (d Decision) Admitted() bool {
 	return d.Reason == pb.Reason_REASON_UNSPECIFIED
 }
 
-// Controller admits queries of one service.
+// Controller admits the queries of one service.
 type Controller struct {
 	params  Params
 	running int
 	rate    rate
 	// credit[p] grows with each admitted query of a class above p.
 	credit [maxPriority + 1]float64
-	// refusals is the recent part of queries refused for load.
-	refusals float64
-	// admitted is when a query was admitted last.
-	admitted time.Time
+	// refusalRate is the moving average of the share of queries refused for overload.
+	refusalRate float64
+	// lastAdmitted is the time of the last admission.
+	lastAdmitted time.Time
 }
 
-// New returns a controller without any running query.
+// New returns a Controller with no running queries.
 func New(p Params) *Controller {
 	if p.MaxRunning <= 0 {
 		p.MaxRunning = defaultMaxRunning
@@ -77,43 +79,44 @@
 	return &Controller{params: p}
 }
 
-// Admit decides on a query with that much time left until its deadline, which
-// is expected to take that long. An admitted query must be ended by Done.
-func (a *Controller) Admit(now time.Time, priority uint32, left, expected time.Duration) Decision {
+// Admit decides whether to run a query that has the remaining time until its deadline
+// and the expected latency. The caller must call Done for each admitted query.
+func (a *Controller) Admit(now time.Time, priority uint32, remaining, expected time.Duration) Decision {
 	a.rate.advance(now, a.running)
-	probe := left < expected && a.probes(now)
-	if left <= 0 || left < expected && !probe {
+	probe := remaining < expected && a.mayProbe(now)
+	if remaining <= 0 || remaining < expected && !probe {
 		return Decision{Reason: pb.Reason_REASON_DEADLINE_TOO_SHORT, RetryAfter: a.retryAfter(priority)}
 	}
-	rank := int(min(priority, maxPriority))
-	a.rate.seen(rank)
-	if !a.fits(rank) {
-		a.rate.refused(rank)
-		a.refusals += refusalWeight * (1 - a.refusals)
+	class := int(min(priority, maxPriority))
+	a.rate.observeClass(class)
+	if !a.hasCapacity(class) {
+		a.rate.countRefusal(class)
+		a.refusalRate += refusalWeight * (1 - a.refusalRate)
 		return Decision{Reason: pb.Reason_REASON_OVERLOAD, RetryAfter: a.retryAfter(priority)}
 	}
-	a.refusals -= refusalWeight * a.refusals
+	a.refusalRate -= refusalWeight * a.refusalRate
 	a.running++
-	a.admitted = now
-	a.rate.take()
-	for p := rank + 1; p < len(a.credit); p++ {
+	a.lastAdmitted = now
+	a.rate.takeToken()
+	for p := class + 1; p < len(a.credit); p++ {
 		a.credit[p] = min(a.credit[p]+a.params.LowShare, maxCredit)
 	}
 	return Decision{Probe: probe}
 }
 
-// probes reports whether a query may be admitted although it is expected to take longer than
-// it has. The expected time follows admitted queries only, so that without a probe a second
-// a few slow ones would keep all later ones out.
-func (a *Controller) probes(now time.Time) bool {
-	return !a.admitted.IsZero() && now.Sub(a.admitted) >= probeAfter
+// mayProbe reports whether a query may be admitted although its expected latency
+// exceeds its remaining time. The expected latency is updated by admitted queries
+// only, so without probes a few slow queries would cause all later ones to be
+// refused.
+func (a *Controller) mayProbe(now time.Time) bool {
+	return !a.lastAdmitted.IsZero() && now.Sub(a.lastAdmitted) >= probeInterval
 }
 
-// Done ends an admitted query. ok is false when load made it miss its deadline
-// or lose shards.
-func (a *Controller) Done(now time.Time, priority uint32, took time.Duration, ok bool) {
+// Done ends an admitted query. ok is false if overload made the query miss its
+// deadline or lose shards.
+func (a *Controller) Done(now time.Time, priority uint32, latency time.Duration, ok bool) {
 	a.running--
-	a.rate.done(int(min(priority, maxPriority)), took, ok)
+	a.rate.done(int(min(priority, maxPriority)), latency, ok)
 	a.rate.advance(now, a.running)
 }
 
@@ -122,45 +125,45 @@
 	return a.running
 }
 
-// Rate returns the queries a second that are admitted now, 0 while there was no
-// sign of overload to bound them by.
+// Rate returns the current rate limit in queries per second. It is 0, which means
+// unlimited, until overload is first detected.
 func (a *Controller) Rate() float64 {
 	return a.rate.limit
 }
 
-// Pressure returns 0 when nothing is refused for load, rising to 1 when a good
-// part is. Budgets for hedges and retries shrink by it.
+// Pressure returns a value between 0 and 1 that rises with the share of queries
+// refused for overload. Hedge and retry budgets shrink as it rises.
 func (a *Controller) Pressure() float64 {
-	if a.refusals < pressureFloor {
+	if a.refusalRate < pressureFloor {
 		return 0
 	}
-	return min(1, a.refusals*pressureGain)
+	return min(1, a.refusalRate*pressureGain)
 }
 
-// fits reports whether a class finds a token. Each class leaves tokens in the
-// bucket for the class above it: a higher class finds them at once, takes what
-// lower ones would have had, and so displaces them without any queue.
+// hasCapacity reports whether a query of the class may run. Each class leaves tokens
+// in the bucket for the classes above it. A higher class can use these tokens
+// immediately, so it displaces lower classes without a queue.
 //
-// A lower class gets its kept share beyond that; without it, it would starve
-// for as long as higher ones use the whole rate.
-func (a *Controller) fits(rank int) bool {
-	if a.running >= a.params.MaxRunning || !a.rate.has(0, a.running) {
+// A lower class may also spend credit from its reserved share. Without that share it
+// would starve while higher classes use the whole rate.
+func (a *Controller) hasCapacity(class int) bool {
+	if a.running >= a.params.MaxRunning || !a.rate.hasToken(0, a.running) {
 		return false
 	}
-	if rank == 0 || a.rate.has(rank, a.running) {
+	if class == 0 || a.rate.hasToken(class, a.running) {
 		return true
 	}
-	if a.credit[rank] < 1 {
+	if a.credit[class] < 1 {
 		return false
 	}
-	a.credit[rank]--
+	a.credit[class]--
 	return true
 }
 
-// retryAfter grows with the part of queries refused and with the class, so that
-// returning callers do not keep up the overload.
+// retryAfter grows with the share of refused queries and with the class, so that
+// retrying callers do not prolong the overload.
 func (a *Controller) retryAfter(priority uint32) time.Duration {
-	wait := a.rate.typical * time.Duration(1+min(priority, maxPriority))
-	wait = time.Duration(float64(wait) / max(1-a.refusals, 0.05))
+	wait := a.rate.latency * time.Duration(1+min(priority, maxPriority))
+	wait = time.Duration(float64(wait) / max(1-a.refusalRate, 0.05))
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
--- a/policy/admission/doc.go
+++ b/policy/admission/doc.go
@@ -1,6 +1,6 @@
-// Package admission decides, once and at the entry node, whether a whole query
-// runs. A query that is refused is answered at once; none is queued.
+// Package admission decides at the entry node whether a query runs. A query is
+// admitted or refused as a whole and immediately; none is queued.
 //
-// One Controller serves one service, because services share no backend servers.
-// It is not safe for concurrent use.
+// Each service has its own Controller, because services share no backend servers.
+// A Controller is not safe for concurrent use.
 package admission
--- a/policy/admission/latency.go
+++ b/policy/admission/latency.go
@@ -3,42 +3,44 @@
 import "time"
 
 const (
-	// latencyWeight smooths latencies over some twenty queries.
+	// latencyWeight is the weight of one query in a moving average.
 	latencyWeight = 0.05
-	// outlier bounds one latency to so many times the typical one.
-	outlier = 3
+	// outlierFactor bounds one latency sample to a multiple of the moving average.
+	outlierFactor = 3
 )
 
-// classLatency compares a class with itself: kinds of queries differ in cost,
-// and a change in the mix must not look like load.
+// classLatency compares the latencies of one priority class with its own baseline.
+// Classes differ in cost, so a baseline over all classes would report a change in the
+// mix as load.
 type classLatency struct {
-	// typical is the recent latency, unloaded the lowest that it has been, both
-	// in seconds.
-	typical, unloaded float64
-	seen              int
+	// recent is the moving average of the latency. unloaded is the lowest value of
+	// recent since the last rebase. Both are in seconds.
+	recent, unloaded float64
+	samples          int
 }
 
-// settle is the number of queries of a class before its latency is judged.
-const settle = 20
+// minSamples is the number of queries of a class before its latency is evaluated.
+const minSamples = 20
 
-// observe returns the latency as a multiple of the unloaded one.
-func (l *classLatency) observe(took time.Duration) float64 {
-	sample := took.Seconds()
-	l.seen++
-	if l.seen == 1 {
-		l.typical = sample
+// observe adds a sample and returns the latency as a multiple of the unloaded
+// latency. It returns 1 until the class has minSamples samples.
+func (l *classLatency) observe(latency time.Duration) float64 {
+	sample := latency.Seconds()
+	l.samples++
+	if l.samples == 1 {
+		l.recent = sample
 	}
-	l.typical += latencyWeight * (min(sample, outlier*l.typical) - l.typical)
-	if l.seen == settle || l.seen > settle && l.typical < l.unloaded {
-		l.unloaded = l.typical
+	l.recent += latencyWeight * (min(sample, outlierFactor*l.recent) - l.recent)
+	if l.samples == minSamples || l.samples > minSamples && l.recent < l.unloaded {
+		l.unloaded = l.recent
 	}
-	if l.seen < settle {
+	if l.samples < minSamples {
 		return 1
 	}
-	return min(sample, outlier*l.typical) / l.unloaded
+	return min(sample, outlierFactor*l.recent) / l.unloaded
 }
 
-// loadRatio is the recent mean of latencies as multiples of unloaded ones.
+// loadRatio is the moving average of latencies as multiples of the unloaded latency.
 type loadRatio struct {
 	value float64
 }
--- a/policy/admission/rate.go
+++ b/policy/admission/rate.go
@@ -6,202 +6,211 @@
 )
 
 const (
-	// window is the least time between two changes of the rate, and
-	// windowQueries the least queries; windowMax ends a window without them.
-	window        = 100 * time.Millisecond
-	windowQueries = 10
-	windowMax     = time.Second
-	// stallFactor times the typical latency without any end is a stall, if that
-	// many run.
+	// A window lasts at least minWindow and includes at least minWindowQueries
+	// completed queries. A window with fewer queries ends after maxWindow.
+	minWindow        = 100 * time.Millisecond
+	minWindowQueries = 10
+	maxWindow        = time.Second
+	// A window without any completed query is a stall if it lasts stallFactor times
+	// the average latency and at least stallRunning queries are running.
 	stallFactor  = 4
 	stallRunning = 10
-	// tolerance is how far latency may rise over the unloaded one: beyond, queues
-	// have formed.
-	tolerance = 1.6
-	// severe times the tolerance is when every node reduces its rate.
-	severe = 1.5
-	// relaxed is the latency below which there are no queues at all.
-	relaxed = 1.25
-	// backOff is the part of the delivered rate that is admitted while queues
-	// drain. growth is the factor a second while they are short, fastGrowth while
-	// there are none, and ahead how far the rate may lie over the delivered one.
-	backOff    = 0.9
-	growth     = 1.15
-	fastGrowth = 2
-	ahead      = 1.25
-	// provenPart of the best rate of recent windows is always admitted. A window
-	// in which queries fail ends later than they were admitted, and alone would
-	// bring the rate down far below what is borne. provenDecay a window lets the
-	// best rate go.
-	provenPart  = 0.7
-	provenDecay = 0.97
-	// leastRate keeps a node probing, in queries a second.
-	leastRate = 1
-	// maxFailures is the part of queries that may fail in a window; fewer than
-	// leastFailures are chance.
-	maxFailures   = 0.05
-	leastFailures = 3
-	// burstTime and leastBurst size the bucket; each class keeps classReserve
-	// of what the class above may use.
+	// overloadRatio is the latency, as a multiple of the unloaded latency, above
+	// which queries are assumed to queue.
+	overloadRatio = 1.6
+	// severeFactor times overloadRatio is the load at which every node reduces its
+	// rate.
+	severeFactor = 1.5
+	// unloadedRatio is the latency, as a multiple of the unloaded latency, below
+	// which no queries are assumed to queue.
+	unloadedRatio = 1.25
+	// drainFactor is the share of the delivered rate that is admitted while queues
+	// drain. growthPerSecond is the growth of the rate while queues are short.
+	// fastGrowthPerSecond applies while there are no queues or the highest class is
+	// refused. The rate grows up to headroomFactor times the delivered rate.
+	drainFactor         = 0.9
+	growthPerSecond     = 1.15
+	fastGrowthPerSecond = 2
+	headroomFactor      = 1.25
+	// In overload the rate is reduced to no less than peakShare of the best rate of
+	// recent windows. Failed queries end long after their admission, so the delivered
+	// rate of a window with failures is far below the capacity of the backend
+	// servers. peakDecay is applied to the best rate in each window.
+	peakShare = 0.7
+	peakDecay = 0.97
+	// minRate is the lowest rate in queries per second. It lets a node detect that
+	// the service has recovered.
+	minRate = 1
+	// maxFailureRatio is the share of failed queries above which a window is
+	// overloaded, if at least minFailures queries failed.
+	maxFailureRatio = 0.05
+	minFailures     = 3
+	// burstTime and minBurst set the size of the bucket. Each class may use the share
+	// classReserve of the tokens that the class above may use.
 	burstTime    = 50 * time.Millisecond
-	leastBurst   = 16
+	minBurst     = 16
 	classReserve = 0.4
-	// runningFactor and runningSpare bound the queries that run at once by those
-	// that the rate and the unloaded latency explain, before any latency has been
-	// seen to rise. classSpare is kept free for the class above.
+	// runningFactor and runningSpare bound the number of concurrent queries relative
+	// to the number expected from the rate and the unloaded latency. This limit
+	// applies before a rise in latency is observed. classSpare is reserved for each
+	// higher class.
 	runningFactor = 2
 	runningSpare  = 8
 	classSpare    = 2
-	// rebaseRate is the part of the rate at the start of a decline at which
-	// latency must have come down, or was not due to load.
+	// When the rate falls below rebaseRate of its value at the start of a decline,
+	// the load must have fallen to rebaseGain of its value. Otherwise the latency is
+	// not caused by load.
 	rebaseRate = 0.5
 	rebaseGain = 0.8
 )
 
-// rate is a token bucket for queries whose rate follows what the backend servers
-// deliver. A bound on running queries alone is too coarse: eight nodes share
-// backend servers that bear nine queries at once.
+// rate is a token bucket whose refill rate follows the rate that the backend servers
+// deliver. A concurrency limit alone is too coarse when several nodes share backend
+// servers that run only a few queries at once.
 type rate struct {
-	// limit in queries a second; 0 is unbounded, before any overload.
+	// limit is in queries per second. It is 0, which means unlimited, until overload
+	// is first detected.
 	limit  float64
 	tokens float64
-	// proven is the best rate delivered in recent windows.
-	proven float64
-	at     time.Time
-	// typical is the recent latency of a query over all classes.
-	typical time.Duration
+	// peakRate is the best rate delivered in recent windows.
+	peakRate  float64
+	updatedAt time.Time
+	// latency is the moving average of the query latency over all classes.
+	latency time.Duration
 	classes [maxPriority + 1]classLatency
 
-	// The window that is being counted.
-	since                time.Time
-	ended, failed, asked int
-	// squeezed is true when a query of the highest class was refused.
-	squeezed bool
-	// highest is the highest class seen so far; lower ones have larger numbers.
-	highest int
-	started bool
-	load    loadRatio
-	// decline is the rate and load when the rate began to fall.
+	// The following fields count the current window.
+	windowStart                 time.Time
+	completed, failed, refusals int
+	// highestRefused is true if a query of the highest class was refused.
+	highestRefused bool
+	// highestClass is the most urgent class observed so far, which has the smallest
+	// number.
+	highestClass int
+	classSeen    bool
+	load         loadRatio
+	// decline holds the rate and load at the start of a decline of the rate.
 	decline struct {
 		rate, load float64
 	}
 }
 
-// take removes a token.
-func (r *rate) take() {
+func (r *rate) takeToken() {
 	if r.limit > 0 {
 		r.tokens--
 	}
 }
 
-// refused notes that more queries were asked for than the rate admits.
-func (r *rate) refused(rank int) {
-	r.asked++
-	r.squeezed = r.squeezed || rank == r.highest
+// countRefusal counts a query refused for overload.
+func (r *rate) countRefusal(class int) {
+	r.refusals++
+	r.highestRefused = r.highestRefused || class == r.highestClass
 }
 
-// seen notes a class.
-func (r *rate) seen(rank int) {
-	if !r.started || rank < r.highest {
-		r.highest = rank
+// observeClass updates the highest class.
+func (r *rate) observeClass(class int) {
+	if !r.classSeen || class < r.highestClass {
+		r.highestClass = class
 	}
-	r.started = true
+	r.classSeen = true
 }
 
-// has reports whether the bucket holds a token for a class and few enough run.
-func (r *rate) has(rank, running int) bool {
-	if float64(running) >= r.runningBound(rank) {
+// hasToken reports whether the bucket has a token for the class and the number of
+// concurrent queries is below the limit of the class.
+func (r *rate) hasToken(class, running int) bool {
+	if float64(running) >= r.runningBound(class) {
 		return false
 	}
-	left := r.burst() * (1 - math.Pow(classReserve, float64(rank)))
-	return r.limit == 0 || r.tokens >= min(1+left, r.burst())
+	reserved := r.burst() * (1 - math.Pow(classReserve, float64(class)))
+	return r.limit == 0 || r.tokens >= min(1+reserved, r.burst())
 }
 
-// runningBound is how many queries may run while another of a class starts.
-func (r *rate) runningBound(rank int) float64 {
+// runningBound returns the concurrency limit for a query of the class.
+func (r *rate) runningBound(class int) float64 {
 	admitted := r.limit
 	if admitted == 0 {
-		admitted = r.proven
+		admitted = r.peakRate
 	}
-	explained := admitted * r.typical.Seconds() / max(r.load.value, 1)
-	bound := runningFactor*explained + runningSpare - classSpare*float64(rank)
+	expected := admitted * r.latency.Seconds() / max(r.load.value, 1)
+	bound := runningFactor*expected + runningSpare - classSpare*float64(class)
 	return max(bound, 1)
 }
 
 func (r *rate) burst() float64 {
-	return max(leastBurst, r.limit*burstTime.Seconds())
+	return max(minBurst, r.limit*burstTime.Seconds())
 }
 
-// done counts a query that ended.
-func (r *rate) done(rank int, took time.Duration, ok bool) {
-	r.ended++
+// done counts a completed query.
+func (r *rate) done(class int, latency time.Duration, ok bool) {
+	r.completed++
 	if !ok {
 		r.failed++
 	}
-	r.typical += time.Duration(latencyWeight * float64(took-r.typical))
-	r.load.observe(r.classes[rank].observe(took))
+	r.latency += time.Duration(latencyWeight * float64(latency-r.latency))
+	r.load.observe(r.classes[class].observe(latency))
 }
 
-// advance fills the bucket and, at the end of a window, sets the rate.
+// advance refills the bucket and adjusts the rate at the end of a window.
 func (r *rate) advance(now time.Time, running int) {
-	if r.at.IsZero() {
-		r.at, r.since = now, now
-	}
-	r.tokens = min(r.burst(), r.tokens+r.limit*now.Sub(r.at).Seconds())
-	r.at = now
-	passed := now.Sub(r.since)
-	full := passed >= window && r.ended >= windowQueries
-	stalled := r.ended == 0 && running >= stallRunning && passed >= max(window, stallFactor*r.typical)
-	idle := r.ended+running == 0
-	if !full && !stalled && (passed < windowMax || idle) {
+	if r.updatedAt.IsZero() {
+		r.updatedAt, r.windowStart = now, now
+	}
+	r.tokens = min(r.burst(), r.tokens+r.limit*now.Sub(r.updatedAt).Seconds())
+	r.updatedAt = now
+	elapsed := now.Sub(r.windowStart)
+	full := elapsed >= minWindow && r.completed >= minWindowQueries
+	stalled := r.completed == 0 && running >= stallRunning && elapsed >= max(minWindow, stallFactor*r.latency)
+	idle := r.completed+running == 0
+	if !full && !stalled && (elapsed < maxWindow || idle) {
 		return
 	}
-	r.adjust(passed, stalled)
-	r.since = now
-	r.ended, r.failed, r.asked = 0, 0, 0
-	r.squeezed = false
+	r.adjust(elapsed, stalled)
+	r.windowStart = now
+	r.completed, r.failed, r.refusals = 0, 0, 0
+	r.highestRefused = false
 }
 
-func (r *rate) adjust(passed time.Duration, stalled bool) {
-	delivered := float64(r.ended-r.failed) / passed.Seconds()
-	r.proven = max(delivered, r.proven*provenDecay)
-	overloaded := stalled || r.load.value > tolerance
-	if r.failed >= leastFailures && float64(r.failed) > maxFailures*float64(r.ended) {
+func (r *rate) adjust(elapsed time.Duration, stalled bool) {
+	delivered := float64(r.completed-r.failed) / elapsed.Seconds()
+	r.peakRate = max(delivered, r.peakRate*peakDecay)
+	overloaded := stalled || r.load.value > overloadRatio
+	if r.failed >= minFailures && float64(r.failed) > maxFailureRatio*float64(r.completed) {
 		overloaded = true
 	}
 	switch {
 	case overloaded:
-		r.fall(delivered)
-	case r.limit > 0 && r.asked > 0:
+		r.decrease(delivered)
+	case r.limit > 0 && r.refusals > 0:
 		r.decline.rate = 0
-		r.grow(passed)
+		r.increase(elapsed)
 	case r.limit > 0:
 		r.decline.rate = 0
-		r.limit = max(r.limit, ahead*delivered)
+		r.limit = max(r.limit, headroomFactor*delivered)
 	}
 }
 
-func (r *rate) grow(passed time.Duration) {
-	factor := growth
-	if r.squeezed || r.load.value < relaxed {
-		factor = fastGrowth
+func (r *rate) increase(elapsed time.Duration) {
+	factor := growthPerSecond
+	if r.highestRefused || r.load.value < unloadedRatio {
+		factor = fastGrowthPerSecond
 	}
-	grown := r.limit * math.Pow(factor, min(passed, windowMax).Seconds())
-	r.limit = max(r.limit, min(grown, max(ahead*r.proven, leastRate)))
+	increased := r.limit * math.Pow(factor, min(elapsed, maxWindow).Seconds())
+	r.limit = max(r.limit, min(increased, max(headroomFactor*r.peakRate, minRate)))
 }
 
-// fall admits less than was delivered, so that queues drain. When half the rate
-// leaves latency where it was, load is not its cause: the service has become
-// slower, and that is its unloaded latency from now on. Otherwise the rate would
-// fall until nothing is served.
-func (r *rate) fall(delivered float64) {
-	// Nodes share the backend servers without telling each other their rates. One
-	// that refuses its highest class holds its rate while the others, which still
-	// serve lower classes, give way; under severe overload all of them do.
-	if r.squeezed && r.load.value < severe*tolerance && r.limit > 0 {
+// decrease sets the rate below the delivered rate, so that queues drain. If latency
+// stays high after the rate has halved, load is not the cause: the service has become
+// slower. Its current latency then becomes the new unloaded latency. Otherwise the
+// rate would fall until no queries are served.
+func (r *rate) decrease(delivered float64) {
+	// Nodes share the backend servers but do not exchange their rates. A node that
+	// refuses queries of its highest class holds its rate, so that nodes which still
+	// serve lower classes reduce theirs first. Under severe overload all nodes reduce
+	// their rates.
+	if r.highestRefused && r.load.value < severeFactor*overloadRatio && r.limit > 0 {
 		return
 	}
-	target := max(leastRate, provenPart*r.proven, backOff*delivered)
+	target := max(minRate, peakShare*r.peakRate, drainFactor*delivered)
 	if r.limit == 0 {
 		r.limit = target
 		r.tokens = r.burst()
@@ -218,7 +227,7 @@
 
 func (r *rate) rebase() {
 	for i := range r.classes {
-		r.classes[i].unloaded = r.classes[i].typical
+		r.classes[i].unloaded = r.classes[i].recent
 	}
 	r.load.value = 1
 	r.decline.rate = 0
