--- a/policy/coalesce/coalesce.go
+++ b/policy/coalesce/coalesce.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// Policy is what a replica's service allows. The zero value sends each
+// Policy holds the batching limits of a replica's service. The zero value sends each
 // subrequest alone.
 type Policy struct {
-	// MaxBatch is how many subrequests the replica takes in one call; 0 counts
-	// as 1.
+	// MaxBatch is the maximum number of subrequests in one call; 0 counts as 1.
 	MaxBatch int
 }
 
-// Queue is what stands before the calls to one replica.
+// Queue describes the load of one replica before a call.
 type Queue struct {
-	// Waiting subrequests.
+	// Waiting is the number of queued subrequests.
 	Waiting int
-	// Slots is how many calls may be in flight at once.
+	// Slots is the maximum number of concurrent calls.
 	Slots int
 }
 
-// Enabled reports whether calls may carry more than one subrequest.
+// Enabled reports whether a call may carry more than one subrequest.
 func (p Policy) Enabled() bool {
 	return p.MaxBatch > 1
 }
 
-// Calls returns how many calls the waiting subrequests amount to, the last one
-// counted only when it is full. Bounds on waiting count these: a call takes a
-// place for the same time, whatever it carries.
+// Calls returns the number of full calls that the waiting subrequests make. Queue
+// limits count calls, because a call occupies a slot for the same time whatever its
+// batch size.
 func (p Policy) Calls(waiting int) int {
 	return waiting / max(p.MaxBatch, 1)
 }
 
-// MeetsDeadline reports whether a subrequest that joins the queue's end can be answered
-// in the time that is left. All places have to turn over once for each full round
-// of calls ahead of it, and then its own call takes the typical time. One that
-// cannot is better refused at once: another replica may still answer it. Without
-// coalescing, or a typical time, nothing is refused here.
-func (p Policy) MeetsDeadline(q Queue, typical, left time.Duration) bool {
+// MeetsDeadline reports whether a subrequest that joins the end of the queue can be
+// answered in the remaining time. All slots have to complete one call for each full
+// round of calls ahead of it, and its own call takes the typical time. The caller
+// should refuse a subrequest that cannot meet its deadline, because another replica
+// may still answer it. The result is true if batching is disabled or the typical time
+// is unknown.
+func (p Policy) MeetsDeadline(q Queue, typical, remaining time.Duration) bool {
 	if !p.Enabled() || typical <= 0 {
 		return true
 	}
 	rounds := p.Calls(q.Waiting) / max(q.Slots, 1)
-	return left >= time.Duration(rounds+1)*typical
+	return remaining >= time.Duration(rounds+1)*typical
 }
 
-// BatchSize returns how many waiting subrequests go with the next call when that many
-// places are free, this call's among them. They are spread over the free places:
-// a call that carries fewer is answered sooner, and nothing is saved by leaving a
-// place empty while subrequests wait.
+// BatchSize returns the number of queued subrequests that the next call carries. free
+// is the number of free slots, including the slot of this call. The queue is spread
+// evenly over the free slots, because a call with fewer subrequests is answered
+// sooner.
 func (p Policy) BatchSize(q Queue, free int) int {
 	if !p.Enabled() || q.Waiting <= 1 {
 		return min(q.Waiting, 1)
--- a/policy/coalesce/coalesce_test.go
+++ b/policy/coalesce/coalesce_test.go
@@ -10,28 +10,27 @@
 )
 
 func TestBatchSizeSpreadsWaitingSubrequestsOverFreeSlots(t *testing.T) {
-	// Nine wait. With one place free they go together, as far as a call takes
-	// them; with three free they are spread, and none stays behind. Without
-	// coalescing each goes alone.
-	for _, test := range []struct{ most, waiting, free, want int }{
+	// Guards against batches above the maximum, and against free slots that stay
+	// unused while subrequests wait.
+	for _, test := range []struct{ maxBatch, waiting, free, want int }{
 		{32, 9, 1, 9}, {4, 9, 1, 4}, {32, 9, 3, 3}, {32, 8, 3, 3}, {32, 1, 1, 1},
 		{0, 9, 1, 1}, {1, 9, 1, 1}, {32, 0, 1, 0}, {32, 9, 0, 9},
 	} {
-		p := coalesce.Policy{MaxBatch: test.most}
+		p := coalesce.Policy{MaxBatch: test.maxBatch}
 		got := p.BatchSize(coalesce.Queue{Waiting: test.waiting}, test.free)
 		qt.Check(t, got, qt.Equals, test.want, qt.Commentf("%+v", test))
 	}
 }
 
 func TestMeetsDeadlineIsFalseWhenQueueIsTooLong(t *testing.T) {
-	// Two places and calls of four: with 16 waiting, two full rounds go before a
-	// newcomer, which is answered 3 typical times from now. With less left it would
-	// only make others late; so it is refused while another replica can answer it.
+	// Guards against queueing a subrequest that cannot meet its deadline. With 16
+	// subrequests waiting, 2 slots and calls of 4, two full rounds come first, so the
+	// reply arrives after 3 typical times.
 	const typical = 5 * time.Millisecond
 	q := coalesce.Queue{Waiting: 16, Slots: 2}
-	on := coalesce.Policy{MaxBatch: 4}
-	qt.Assert(t, on.MeetsDeadline(q, typical, 15*time.Millisecond), qt.IsTrue)
-	qt.Assert(t, on.MeetsDeadline(q, typical, 14*time.Millisecond), qt.IsFalse)
-	qt.Assert(t, on.MeetsDeadline(q, 0, time.Millisecond), qt.IsTrue)
+	policy := coalesce.Policy{MaxBatch: 4}
+	qt.Assert(t, policy.MeetsDeadline(q, typical, 15*time.Millisecond), qt.IsTrue)
+	qt.Assert(t, policy.MeetsDeadline(q, typical, 14*time.Millisecond), qt.IsFalse)
+	qt.Assert(t, policy.MeetsDeadline(q, 0, time.Millisecond), qt.IsTrue)
 	qt.Assert(t, coalesce.Policy{}.MeetsDeadline(q, typical, time.Millisecond), qt.IsTrue)
 }
--- a/policy/coalesce/doc.go
+++ b/policy/coalesce/doc.go
@@ -1,7 +1,7 @@
-// Package coalesce decides how subrequests of different queries to one replica
-// share calls: which may wait for a place, and how many of those that wait go
-// with the next call.
+// Package coalesce decides how subrequests of different queries to one replica are
+// batched: which of them may queue for a concurrency slot, and how many queued ones
+// the next call carries.
 //
-// It adds no wait of its own. A subrequest that finds a place free is sent alone
-// and at once; only what has to wait for a place anyway is sent together.
+// Batching adds no delay. A subrequest that finds a free slot is sent alone and
+// immediately. Only subrequests that have to queue for a slot are batched.
 package coalesce
