--- a/policy/dispatch/claim.go
+++ b/policy/dispatch/claim.go
@@ -6,11 +6,11 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// claim tries to take the key at revision.
+// claim tries to write a pending claim at the given revision.
 func (m *Machine) claim(revision uint64) []Action {
 	m.phase = phaseClaiming
-	m.claims++
-	m.at = revision
+	m.claimRounds++
+	m.triedRevision = revision
 	return []Action{Claim{Revision: revision, Value: m.pending()}}
 }
 
@@ -26,60 +26,61 @@
 func (m *Machine) claimWritten(now time.Time, e ClaimWritten) []Action {
 	switch e.Result {
 	case WriteDone:
-		return m.hold(now, e.Revision)
+		return m.claimHeld(now, e.Revision)
 	case WriteUncertain, WriteConflict:
-		// A conflict leaves the same doubt as a lost answer: something on the way
-		// may have repeated our write, and the answer is that of the second copy.
-		m.doubt = true
+		// A conflict is as uncertain as a lost reply. The write may have been
+		// duplicated in transit, and the conflict may be the reply to the second
+		// copy.
+		m.uncertain = true
 		return m.readClaim(now)
 	default:
-		return m.withoutPlatform(now)
+		return m.platformUnavailable(now)
 	}
 }
 
 func (m *Machine) readClaim(now time.Time) []Action {
 	if m.finished {
-		return m.abandon(now)
+		return m.resolveClaim(now)
 	}
 	return []Action{ReadClaim{}}
 }
 
-// hold goes on with the claim known to be ours.
-func (m *Machine) hold(now time.Time, revision uint64) []Action {
+// claimHeld continues after the claim is confirmed to belong to this request.
+func (m *Machine) claimHeld(now time.Time, revision uint64) []Action {
 	m.held = true
-	m.doubt = false
+	m.uncertain = false
 	m.revision = revision
 	return m.pick(now)
 }
 
 func (m *Machine) claimRead(now time.Time, e ClaimRead) []Action {
 	if m.finished {
-		return m.abandon(now)
+		return m.resolveClaim(now)
 	}
 	switch {
 	case e.Result == ReadFailed:
-		return m.withoutPlatform(now)
-	case m.fromThePast(e):
-		return m.readAgain(now)
+		return m.platformUnavailable(now)
+	case m.isStale(e):
+		return m.retryRead(now)
 	case e.Result == ReadAbsent:
-		return m.claimAgain(now, 0)
+		return m.retryClaim(now, 0)
 	}
-	if e.Claim.GetRequestId() != m.p.RequestID && e.Revision > m.at {
-		// Another claim followed the revision that we tried on, so our write
-		// failed and cannot succeed any more.
-		m.doubt = false
+	if e.Claim.GetRequestId() != m.p.RequestID && e.Revision > m.triedRevision {
+		// Another claim followed the revision that this request tried to write at, so
+		// the write failed and can no longer succeed.
+		m.uncertain = false
 	}
 	switch {
 	case e.Claim.GetRequestId() == m.p.RequestID:
-		return m.hold(now, e.Revision)
+		return m.claimHeld(now, e.Revision)
 	case e.Claim.GetDigest() != m.p.Digest:
-		return m.stop(now, Outcome{
+		return m.finishWithoutClaim(now, Outcome{
 			RequestID: m.p.RequestID,
 			Evidence:  pb.Evidence_EVIDENCE_NOT_RUN,
 			Reason:    pb.Reason_REASON_KEY_REUSED,
 		})
 	case e.Claim.GetState() != pb.ClaimState_CLAIM_STATE_DONE:
-		return m.stop(now, Outcome{
+		return m.finishWithoutClaim(now, Outcome{
 			RequestID:  e.Claim.GetRequestId(),
 			Evidence:   pb.Evidence_EVIDENCE_UNKNOWN,
 			Reason:     pb.Reason_REASON_KEY_PENDING,
@@ -87,41 +88,41 @@
 			RetryAfter: pendingRetryAfter,
 		})
 	case e.Claim.GetEvidence() == pb.Evidence_EVIDENCE_NOT_RUN:
-		return m.claimAgain(now, e.Revision)
+		return m.retryClaim(now, e.Revision)
 	default:
-		return m.stop(now, earlier(e.Claim))
+		return m.finishWithoutClaim(now, storedOutcome(e.Claim))
 	}
 }
 
-// fromThePast tells a read from before a revision that we have seen. It shows
-// neither what the key holds nor what became of our write.
-func (m *Machine) fromThePast(e ClaimRead) bool {
+// isStale reports whether a read is older than a revision that was already observed.
+// A stale read shows neither the current claim nor the result of the write.
+func (m *Machine) isStale(e ClaimRead) bool {
 	if e.Result == ReadAbsent {
-		return m.at > 0
+		return m.triedRevision > 0
 	}
-	return e.Revision < m.at && e.Claim.GetRequestId() != m.p.RequestID
+	return e.Revision < m.triedRevision && e.Claim.GetRequestId() != m.p.RequestID
 }
 
-func (m *Machine) readAgain(now time.Time) []Action {
-	if m.claims == maxClaims {
-		return m.withoutPlatform(now)
+func (m *Machine) retryRead(now time.Time) []Action {
+	if m.claimRounds == maxClaimRounds {
+		return m.platformUnavailable(now)
 	}
-	m.claims++
+	m.claimRounds++
 	return []Action{ReadClaim{}}
 }
 
-// claimAgain takes a key that is free, or that its former holder has settled as
-// not run: that holder will never send again, and the compare-and-swap lets one
-// of several submissions have it.
-func (m *Machine) claimAgain(now time.Time, revision uint64) []Action {
-	if m.claims == maxClaims {
-		return m.withoutPlatform(now)
+// retryClaim claims a key that is free, or whose previous holder completed it as not
+// run. That holder never sends again, and the compare-and-swap lets only one of
+// several submissions claim the key.
+func (m *Machine) retryClaim(now time.Time, revision uint64) []Action {
+	if m.claimRounds == maxClaimRounds {
+		return m.platformUnavailable(now)
 	}
 	return m.claim(revision)
 }
 
-// earlier is the outcome that a settled claim keeps.
-func earlier(c *pb.Claim) Outcome {
+// storedOutcome returns the outcome stored in a completed claim.
+func storedOutcome(c *pb.Claim) Outcome {
 	return Outcome{
 		RequestID:     c.GetRequestId(),
 		Evidence:      c.GetEvidence(),
@@ -132,21 +133,21 @@
 	}
 }
 
-// withoutPlatform refuses: without a claim, another node may be running the
-// same key, so sending could double it. The evidence is not NOT_RUN, for the
-// caller may be repeating a submission that did run.
-func (m *Machine) withoutPlatform(now time.Time) []Action {
-	return m.stop(now, m.notRun(pb.Reason_REASON_PLATFORM))
+// platformUnavailable refuses the request. Without a claim, another node may be
+// running the same key, and sending the request could run it twice. The evidence is
+// not NOT_RUN, because an earlier submission of the caller may have run.
+func (m *Machine) platformUnavailable(now time.Time) []Action {
+	return m.finishWithoutClaim(now, m.notRun(pb.Reason_REASON_PLATFORM))
 }
 
-// stop answers the caller without the claim being held.
-func (m *Machine) stop(now time.Time, o Outcome) []Action {
+// finishWithoutClaim answers the caller while the claim is not held.
+func (m *Machine) finishWithoutClaim(now time.Time, o Outcome) []Action {
 	var actions []Action
 	if !m.finished {
-		actions = m.tell(o)
+		actions = m.answer(o)
 	}
-	if m.doubt {
-		return append(actions, m.abandon(now)...)
+	if m.uncertain {
+		return append(actions, m.resolveClaim(now)...)
 	}
 	m.phase = phaseDone
 	return actions
--- a/policy/dispatch/dispatch_test.go
+++ b/policy/dispatch/dispatch_test.go
@@ -12,134 +12,133 @@
 	"github.com/carobmill/carobmill/policy/modeltest"
 )
 
-// TestMain fixes the seed of the runs in CI. A long run with a fresh seed:
+// TestMain fixes the seed of the runs in CI. A longer run with a new seed:
 //
 //	go test ./policy/dispatch -run AtMostOnce -rapid.checks=200000 -rapid.seed=$RANDOM
 func TestMain(m *testing.M) { modeltest.Main(m, modeltest.Size{Checks: "3000", Steps: "60"}) }
 
-// Callers submit the same keys on several nodes while answers of the platform
-// are lost, late or from the past, nodes are paused or die, and sends end in
-// doubt. Whatever the order: no key and no request runs twice, and what each
-// caller was told is true.
+// Guards against a key or request that runs twice, and against false outcomes.
+// Callers submit the same keys on several nodes while platform replies are lost,
+// delayed or stale, nodes pause or crash, and sends end without a known result.
 func TestAtMostOnceAndTrueEvidence(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { life(t, simulation.Variant{}) })
+	rapid.Check(t, func(t *rapid.T) { runScenario(t, simulation.Variant{}) })
 }
 
-// life drives one world through random steps and then lets it come to rest.
-func life(t *rapid.T, broken simulation.Variant) {
-	w := simulation.NewEnvironment(broken)
+// runScenario runs random steps in an environment and then drains it.
+func runScenario(t *rapid.T, variant simulation.Variant) {
+	env := simulation.NewEnvironment(variant)
 	submit := func(t *rapid.T) {
 		key := rapid.SampledFrom([]string{"k1", "k1", "k1", "k2", ""}).Draw(t, "key")
 		body := rapid.SampledFrom([]string{"fee", "fee", "fee", "fee", "penalty"}).Draw(t, "body")
-		w.Submit(key, body, time.Duration(simulation.Draw(t, "seconds left", 20))*time.Second)
+		env.Submit(key, body, time.Duration(simulation.Draw(t, "seconds remaining", 20))*time.Second)
 	}
-	withBusy := func(do func(*rapid.T, *simulation.Submission)) func(*rapid.T) {
+	withOutstanding := func(do func(*rapid.T, *simulation.Submission)) func(*rapid.T) {
 		return func(t *rapid.T) {
-			if busy := w.Outstanding(); len(busy) > 0 {
-				do(t, busy[simulation.Draw(t, "which", len(busy))])
+			if outstanding := env.Outstanding(); len(outstanding) > 0 {
+				do(t, outstanding[simulation.Draw(t, "submission", len(outstanding))])
 			}
 		}
 	}
-	step := withBusy(func(t *rapid.T, s *simulation.Submission) { w.Step(t, s, true) })
+	step := withOutstanding(func(t *rapid.T, s *simulation.Submission) { env.Step(t, s, true) })
 	t.Repeat(map[string]func(*rapid.T){
-		"submit": submit,
-		"step1":  step,
-		"step2":  step,
-		"step3":  step,
-		"land":   w.DeliverOne,
-		"pass":   func(t *rapid.T) { w.Now = w.Now.Add(time.Duration(simulation.Draw(t, "seconds", 8)) * time.Second) },
-		"give up": withBusy(func(_ *rapid.T, s *simulation.Submission) {
-			w.Apply(s, s.Machine.Step(w.Now, dispatch.Cancelled{Reason: pb.Reason_REASON_DEADLINE}))
+		"submit":    submit,
+		"step1":     step,
+		"step2":     step,
+		"step3":     step,
+		"deliver":   env.DeliverOne,
+		"pass time": func(t *rapid.T) { env.Now = env.Now.Add(time.Duration(simulation.Draw(t, "seconds", 8)) * time.Second) },
+		"deadline": withOutstanding(func(_ *rapid.T, s *simulation.Submission) {
+			env.Apply(s, s.Machine.Step(env.Now, dispatch.Cancelled{Reason: pb.Reason_REASON_DEADLINE}))
 		}),
-		"crash": withBusy(func(t *rapid.T, s *simulation.Submission) {
+		"crash": withOutstanding(func(t *rapid.T, s *simulation.Submission) {
 			if simulation.Draw(t, "crash", 4) == 0 {
-				w.Crash(t, s)
+				env.Crash(t, s)
 			}
 		}),
-		"": func(t *rapid.T) { check(t, w) },
+		"": func(t *rapid.T) { checkInvariants(t, env) },
 	})
-	w.Drain(t)
-	check(t, w)
-	checkAtRest(t, w)
+	env.Drain(t)
+	checkInvariants(t, env)
+	checkAfterDrain(t, env)
 }
 
-// check holds what must be true at every moment.
-func check(t *rapid.T, w *simulation.Environment) {
-	for key, n := range w.Runs {
+// checkInvariants checks the properties that hold after every step.
+func checkInvariants(t *rapid.T, env *simulation.Environment) {
+	for key, n := range env.Runs {
 		if n > 1 {
 			t.Fatalf("%s ran %d times", key, n)
 		}
 	}
-	for _, s := range w.Submissions {
-		for _, told := range s.Reports {
-			checkTold(t, w, s, told)
+	for _, s := range env.Submissions {
+		for _, report := range s.Reports {
+			checkReport(t, env, s, report)
 		}
 	}
 }
 
-func checkTold(t *rapid.T, w *simulation.Environment, s *simulation.Submission, told simulation.Report) {
-	o := told.Outcome
+func checkReport(t *rapid.T, env *simulation.Environment, s *simulation.Submission, report simulation.Report) {
+	o := report.Outcome
 	switch o.Evidence {
 	case pb.Evidence_EVIDENCE_NOT_RUN:
-		if w.LastRunner[s.Key] == s.ID {
-			t.Fatalf("%s was told not run (%v) and ran", s.ID, o.Reason)
+		if env.LastRunner[s.Key] == s.ID {
+			t.Fatalf("%s reported NOT_RUN (%v) but ran", s.ID, o.Reason)
 		}
-		if o.Reason != pb.Reason_REASON_KEY_REUSED && told.Ran > 0 {
-			t.Fatalf("%s was told not run (%v) after its key %s had run", s.ID, o.Reason, s.Key)
+		if o.Reason != pb.Reason_REASON_KEY_REUSED && report.Ran > 0 {
+			t.Fatalf("%s reported NOT_RUN (%v) after its key %s ran or was sent", s.ID, o.Reason, s.Key)
 		}
 	case pb.Evidence_EVIDENCE_RAN:
-		if w.LastRunner[s.Key] != o.RequestID || string(o.Result) != o.RequestID {
-			t.Fatalf("%s was told that %s ran with %q, but %q ran", s.ID, o.RequestID, o.Result, w.LastRunner[s.Key])
+		if env.LastRunner[s.Key] != o.RequestID || string(o.Result) != o.RequestID {
+			t.Fatalf("%s reported that %s ran with result %q, but %q ran last", s.ID, o.RequestID, o.Result, env.LastRunner[s.Key])
 		}
 	}
-	if !o.Sent && w.LastRunner[s.Key] == s.ID {
-		t.Fatalf("%s was told that it was not sent, and ran", s.ID)
+	if !o.Sent && env.LastRunner[s.Key] == s.ID {
+		t.Fatalf("%s reported that it was not sent but ran", s.ID)
 	}
 }
 
-// checkAtRest holds what must be true when the faults are over.
-func checkAtRest(t *rapid.T, w *simulation.Environment) {
-	for _, s := range w.Submissions {
+// checkAfterDrain checks the properties that hold after all faults.
+func checkAfterDrain(t *rapid.T, env *simulation.Environment) {
+	for _, s := range env.Submissions {
 		if !s.Crashed && (s.Finished != 1 || !s.Machine.Done()) {
-			t.Fatalf("%s answered %d times, done %v", s.ID, s.Finished, s.Machine.Done())
+			t.Fatalf("%s has %d final answers, want 1; machine done: %v", s.ID, s.Finished, s.Machine.Done())
 		}
 	}
-	// A retry of a key that met no doubt learns the outcome or runs.
-	for _, s := range w.Submissions {
-		if w.Uncertain[s.Key] || s.Key == s.ID {
+	// A retry of a key without a crash or uncertain send returns the outcome or runs.
+	for _, s := range env.Submissions {
+		if env.Uncertain[s.Key] || s.Key == s.ID {
 			continue
 		}
-		retry := w.Submit(s.Key, s.Digest, time.Hour)
+		retry := env.Submit(s.Key, s.Digest, time.Hour)
 		for retry.Pending != nil {
-			w.Step(t, retry, false)
+			env.Step(t, retry, false)
 		}
 		o := retry.Reports[0].Outcome
 		if o.Evidence != pb.Evidence_EVIDENCE_RAN && o.Reason != pb.Reason_REASON_KEY_REUSED {
-			t.Fatalf("retry of %s at rest: %v %v", s.Key, o.Evidence, o.Reason)
+			t.Fatalf("retry of key %s after all faults: got %v (%v), want RAN or KEY_REUSED", s.Key, o.Evidence, o.Reason)
 		}
 	}
-	check(t, w)
+	checkInvariants(t, env)
 }
 
-// Each variant is a mistake that a later change could make. The check that
-// never fails proves nothing, so it is shown to catch every one of them.
+// Guards against a property check that cannot fail: the check must detect each of
+// these deliberate faults.
 func TestCheckCatchesBrokenVariants(t *testing.T) {
 	variants := map[string]simulation.Variant{
-		"doubt about a send counts as not run": {OnEvent: func(e dispatch.Event, _ dispatch.Action) dispatch.Event {
+		"an uncertain send counts as not run": {OnEvent: func(e dispatch.Event, _ dispatch.Action) dispatch.Event {
 			if r, ok := e.(dispatch.Replied); ok && r.Evidence == pb.Evidence_EVIDENCE_UNKNOWN {
 				r.Evidence = pb.Evidence_EVIDENCE_NOT_RUN
 				return r
 			}
 			return e
 		}},
-		"a lost answer to a claim counts as claimed": {OnEvent: func(e dispatch.Event, a dispatch.Action) dispatch.Event {
+		"a claim with a lost reply counts as held": {OnEvent: func(e dispatch.Event, a dispatch.Action) dispatch.Event {
 			c, ok := a.(dispatch.Claim)
 			if ok && e.(dispatch.ClaimWritten).Result == dispatch.WriteUncertain {
 				return dispatch.ClaimWritten{Result: dispatch.WriteDone, Revision: c.Revision + 1}
 			}
 			return e
 		}},
-		"without the platform the request goes on": {OnEvent: func(e dispatch.Event, a dispatch.Action) dispatch.Event {
+		"the request is sent although the claim failed": {OnEvent: func(e dispatch.Event, a dispatch.Action) dispatch.Event {
 			c, ok := a.(dispatch.Claim)
 			if ok && e.(dispatch.ClaimWritten).Result == dispatch.WriteFailed {
 				return dispatch.ClaimWritten{Result: dispatch.WriteDone, Revision: c.Revision + 1}
@@ -159,21 +158,21 @@
 			}
 			return e
 		}},
-		"unknown is told as not run": {OnAction: func(a dispatch.Action) dispatch.Action {
+		"an unknown outcome is reported as not run": {OnAction: func(a dispatch.Action) dispatch.Action {
 			if f, ok := a.(dispatch.Finish); ok && f.Outcome.Evidence == pb.Evidence_EVIDENCE_UNKNOWN {
 				f.Outcome.Evidence = pb.Evidence_EVIDENCE_NOT_RUN
 				return f
 			}
 			return a
 		}},
-		"a settle says not run whatever happened": {OnAction: func(a dispatch.Action) dispatch.Action {
+		"the final claim always stores not run": {OnAction: func(a dispatch.Action) dispatch.Action {
 			if s, ok := a.(dispatch.CompleteClaim); ok {
 				s.Value.Evidence = pb.Evidence_EVIDENCE_NOT_RUN
 				return s
 			}
 			return a
 		}},
-		"a failed settle is not tried again": {OnEvent: func(e dispatch.Event, a dispatch.Action) dispatch.Event {
+		"a failed final write is not retried": {OnEvent: func(e dispatch.Event, a dispatch.Action) dispatch.Event {
 			_, ok := a.(dispatch.CompleteClaim)
 			if ok && e.(dispatch.ClaimWritten).Result == dispatch.WriteFailed {
 				return dispatch.ClaimWritten{Result: dispatch.WriteDone}
@@ -183,7 +182,7 @@
 	}
 	for name, v := range variants {
 		t.Run(name, func(t *testing.T) {
-			modeltest.Caught(t, "", func(t *rapid.T) { life(t, v) })
+			modeltest.Caught(t, "", func(t *rapid.T) { runScenario(t, v) })
 		})
 	}
 }
--- a/policy/dispatch/doc.go
+++ b/policy/dispatch/doc.go
@@ -1,17 +1,18 @@
-// Package dispatch decides the life of one non-idempotent request: claim its
-// idempotency key, send it, tell the caller what is known, settle the claim.
-// It does no I/O: a Machine takes events and returns actions.
+// Package dispatch is the state machine of one non-idempotent request. It claims
+// the idempotency key, sends the request, reports the outcome to the caller and
+// completes the claim. It does no I/O: a Machine accepts events and returns actions.
 //
-// Rules that every path keeps:
+// The following rules hold on every path:
 //
-//   - A request is sent again only after evidence that the send before did not
-//     run; never hedged; never after the caller's deadline or after a settle.
-//   - A keyed request is sent only while its claim is known to be held.
-//   - Doubt is EVIDENCE_UNKNOWN. NOT_RUN about a keyed request speaks for the
-//     key, not just for this submission: it is told only once the claim is held,
-//     or when the key belongs to another body.
-//   - A claim in state PENDING is changed by its own request alone. It has no
-//     expiry, because a paused holder may still be about to send.
+//   - A request is sent again only if there is evidence that the previous send did
+//     not run. It is never hedged, and never sent after the caller's deadline or
+//     after its claim is completed.
+//   - A request with an idempotency key is sent only while its claim is held.
+//   - An uncertain outcome is EVIDENCE_UNKNOWN. For a request with an idempotency
+//     key, NOT_RUN applies to the key and not only to this submission. It is
+//     reported only after the claim is held, or if the key belongs to another body.
+//   - A claim in state PENDING is changed only by the request that wrote it. It does
+//     not expire, because a paused holder may still send the request.
 //
 // A Machine is not safe for concurrent use.
 package dispatch
--- a/policy/dispatch/event.go
+++ b/policy/dispatch/event.go
@@ -4,43 +4,44 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// Event is what happened.
+// Event is the result of an action, or a cancellation.
 type Event interface{ event() }
 
-// WriteResult is the fate of a compare-and-swap.
+// WriteResult is the result of a compare-and-swap.
 type WriteResult int
 
 const (
-	// WriteDone means: the value is written.
+	// WriteDone means that the value is written.
 	WriteDone WriteResult = iota
-	// WriteConflict means: the key is at another revision.
+	// WriteConflict means that the key is at another revision.
 	WriteConflict
-	// WriteUncertain means: the answer was lost; the write took effect, or will, or not.
+	// WriteUncertain means that the reply was lost. The write may have taken effect,
+	// may still take effect, or may never do so.
 	WriteUncertain
-	// WriteFailed means: the platform could not be asked; nothing is written.
+	// WriteFailed means that the platform was not reachable and nothing is written.
 	WriteFailed
 )
 
-// ClaimWritten answers Claim and Settle.
+// ClaimWritten is the result of Claim and CompleteClaim.
 type ClaimWritten struct {
 	Result WriteResult
 	// Revision is set for WriteDone.
 	Revision uint64
 }
 
-// ReadResult is the fate of a read.
+// ReadResult is the result of a read.
 type ReadResult int
 
 const (
-	// ReadFound means: the claim as it was at some moment, perhaps in the past.
+	// ReadFound means that the read returned a claim, which may be stale.
 	ReadFound ReadResult = iota
-	// ReadAbsent means: there was no claim at some moment.
+	// ReadAbsent means that the read returned no claim, which may be stale.
 	ReadAbsent
-	// ReadFailed means: the platform could not be asked.
+	// ReadFailed means that the platform was not reachable.
 	ReadFailed
 )
 
-// ClaimRead answers ReadClaim.
+// ClaimRead is the result of ReadClaim.
 type ClaimRead struct {
 	Result ReadResult
 	// Claim and Revision are set for ReadFound.
@@ -48,14 +49,14 @@
 	Revision uint64
 }
 
-// Picked answers Pick.
+// Picked is the result of Pick.
 type Picked struct {
-	// Replica is empty when no replica can be used, for Reason.
+	// Replica is empty if no replica can be used, for Reason.
 	Replica string
 	Reason  pb.Reason
 }
 
-// Replied answers Send.
+// Replied is the result of Send.
 type Replied struct {
 	Attempt  int
 	Evidence pb.Evidence
@@ -63,8 +64,8 @@
 	Result   []byte
 }
 
-// Cancelled tells that nobody waits for the outcome any longer: the deadline
-// passed or the caller cancelled. It may come at any time.
+// Cancelled reports that the caller no longer waits for the outcome, because the
+// deadline passed or the caller cancelled. It may arrive at any time.
 type Cancelled struct {
 	Reason pb.Reason
 }
--- a/policy/dispatch/key.go
+++ b/policy/dispatch/key.go
@@ -7,21 +7,21 @@
 	"hash"
 )
 
-// ClaimKey returns the platform's key of the claim on a caller's idempotency
-// key. Keys of different services never meet.
+// ClaimKey returns the platform key of the claim on an idempotency key. Keys of
+// different services never collide.
 func ClaimKey(fleet, service, idempotencyKey string) string {
 	return "carobmill/" + fleet + "/claims/" + digest([]byte(service), []byte(idempotencyKey))
 }
 
-// Digest identifies what a caller asked for: the service, the shard or routing
-// key as the caller named it, and the body. It leaves out what the node derives
-// from them, so that a retry after repartitioning has the same digest.
+// Digest identifies the request of a caller: the service, the shard or routing key as
+// the caller named it, and the body. It excludes values that the node derives from
+// them, so that a retry after repartitioning has the same digest.
 func Digest(service, shard, routingKey string, body []byte) string {
 	return digest([]byte(service), []byte(shard), []byte(routingKey), body)
 }
 
-// digest hashes parts with their lengths, so that moving a byte from one part
-// to the next gives another digest.
+// digest hashes each part with its length, so that moving a byte from one part to the
+// next changes the digest.
 func digest(parts ...[]byte) string {
 	h := sha256.New()
 	for _, part := range parts {
--- a/policy/dispatch/machine.go
+++ b/policy/dispatch/machine.go
@@ -8,46 +8,48 @@
 )
 
 const (
-	// DefaultMaxSends bounds how often one request is sent, refusals included. A
-	// shard of 3 replicas has 4 rounds.
+	// DefaultMaxSends bounds the sends of one request, including refused ones. It
+	// allows 4 rounds over a shard of 3 replicas.
 	DefaultMaxSends = 12
-	// DefaultCompletionTimeout is how long a settle is retried before the claim stays
-	// PENDING for good.
+	// DefaultCompletionTimeout bounds the retries of the final write of a claim.
+	// After it the claim stays PENDING.
 	DefaultCompletionTimeout = 10 * time.Minute
-	// DefaultMaxResultBytes is the largest result kept in a claim.
+	// DefaultMaxResultBytes is the largest result that is stored in a claim.
 	DefaultMaxResultBytes = 64 << 10
 
-	// maxClaims bounds the rounds at the platform before the first send. Each one
-	// after the first answers a race, a lost answer or a read from the past, so
-	// more rounds mean that the platform is of no use now.
-	maxClaims = 4
+	// maxClaimRounds bounds the rounds of claiming before the first send. Each further
+	// round follows a race, a lost reply or a stale read. After maxClaimRounds rounds the
+	// platform is treated as unavailable.
+	maxClaimRounds = 4
 
-	// maxRounds bounds the rounds over a shard's replicas, firstRoundWait is the
-	// wait before the second; it doubles. All waits together are 620 ms, about
-	// what a change of owners takes.
+	// maxRounds bounds the rounds over a shard's replicas. firstRoundWait is the wait
+	// before the second round and doubles for each later one. The waits add up to 620
+	// ms, which is about the duration of a change of owners.
 	maxRounds      = 6
 	firstRoundWait = 20 * time.Millisecond
 
-	// platformRetryAfter, pendingRetryAfter and replicaRetryAfter are when a
-	// caller should come back, by what it waits for.
+	// platformRetryAfter, pendingRetryAfter and replicaRetryAfter are the retry
+	// delays reported to a caller when the platform, a pending claim or a replica is
+	// the cause.
 	platformRetryAfter = time.Second
 	pendingRetryAfter  = time.Second
 	replicaRetryAfter  = 200 * time.Millisecond
 )
 
-// Params of one request.
+// Params are the parameters of one request.
 type Params struct {
 	// RequestID is unique across nodes and restarts.
 	RequestID string
-	// Keyed: the caller gave an idempotency key, so a claim goes first.
+	// Keyed is set if the request has an idempotency key and so needs a claim.
 	Keyed bool
-	// Digest is what the caller asked for; see Digest.
+	// Digest is the value of the function Digest for the request.
 	Digest string
-	// Deadline after which nothing is sent.
+	// Deadline is the time after which nothing is sent.
 	Deadline time.Time
-	// ClaimedAt is the wall-clock time in seconds that the claim shows operators.
+	// ClaimedAt is the wall-clock time, in seconds, that is stored in the claim for
+	// operators.
 	ClaimedAt int64
-	// MaxSends, SettleFor and MaxResultBytes take the defaults when 0.
+	// MaxSends, CompletionTimeout and MaxResultBytes take the defaults if 0.
 	MaxSends          int
 	CompletionTimeout time.Duration
 	MaxResultBytes    int
@@ -57,15 +59,16 @@
 
 const (
 	_ phase = iota
-	// phaseClaiming waits for a Claim or for a ReadClaim that settles its doubt.
+	// phaseClaiming waits for the result of a Claim, or of a ReadClaim that resolves
+	// an uncertain Claim.
 	phaseClaiming
 	phasePicking
 	phaseSending
-	// phaseSettling writes the final claim.
-	phaseSettling
-	// phaseAbandoning removes the doubt about a claim whose answer was lost,
-	// after the caller was told that nothing was sent.
-	phaseAbandoning
+	// phaseCompleting writes the final claim.
+	phaseCompleting
+	// phaseResolving resolves an uncertain claim after the caller received the answer that
+	// nothing was sent.
+	phaseResolving
 	phaseDone
 )
 
@@ -74,30 +77,30 @@
 	p     Params
 	phase phase
 
-	// held: the claim is ours, at revision.
+	// held is set while this request holds the claim at revision.
 	held     bool
 	revision uint64
-	// doubt: a Claim may have taken effect, or still do so, unknown to us. at is
-	// the revision that the latest Claim was tried on; it only rises. claims
-	// counts the tries to get an answer out of the platform.
-	doubt  bool
-	at     uint64
-	claims int
+	// uncertain is set while a Claim may have taken effect, or may still do so.
+	// triedRevision is the revision of the latest Claim; it only rises. claimRounds
+	// counts the Claims and repeated reads.
+	uncertain     bool
+	triedRevision uint64
+	claimRounds   int
 
-	// tried holds the replicas that refused in this round, reason why the last one
-	// did.
+	// tried holds the replicas that refused in this round, and reason is the reason
+	// of the last refusal.
 	tried   []string
 	attempt int
 	round   int
 	reason  pb.Reason
 
 	finished bool
-	// final is what the claim will say.
-	final     Outcome
-	settling  time.Time
-	settleTry int
-	// unsettled: the platform did not take the final claim within SettleFor.
-	unsettled bool
+	// finalOutcome is the outcome that the final claim stores.
+	finalOutcome       Outcome
+	completionStart    time.Time
+	completionAttempts int
+	// unresolved is set if the final write did not succeed within CompletionTimeout.
+	unresolved bool
 }
 
 // New returns the machine of one request.
@@ -122,14 +125,15 @@
 	return m.pick(now)
 }
 
-// Done reports that no action is outstanding and none will come.
+// Done reports that no action is outstanding and none will follow.
 func (m *Machine) Done() bool { return m.phase == phaseDone }
 
-// ClaimResolved reports that no claim of this request can be left in doubt.
-func (m *Machine) ClaimResolved() bool { return m.phase == phaseDone && !m.unsettled }
+// ClaimResolved reports that the machine is done and left no claim of this request
+// uncertain or PENDING.
+func (m *Machine) ClaimResolved() bool { return m.phase == phaseDone && !m.unresolved }
 
-// Step takes an event and returns what to do. An event that answers nothing
-// outstanding is dropped.
+// Step applies an event and returns the next actions. It ignores an event that does
+// not match the outstanding action.
 func (m *Machine) Step(now time.Time, e Event) []Action {
 	switch e := e.(type) {
 	case ClaimWritten:
@@ -141,7 +145,7 @@
 	case Replied:
 		return m.replied(now, e)
 	case Cancelled:
-		return m.givenUp(e)
+		return m.cancelled(e)
 	}
 	return nil
 }
@@ -150,10 +154,10 @@
 	switch m.phase {
 	case phaseClaiming:
 		return m.claimWritten(now, e)
-	case phaseSettling:
-		return m.settleWritten(now, e)
-	case phaseAbandoning:
-		return m.abandonWritten(now, e)
+	case phaseCompleting:
+		return m.completionWritten(now, e)
+	case phaseResolving:
+		return m.resolveWritten(now, e)
 	}
 	return nil
 }
@@ -162,14 +166,14 @@
 	switch m.phase {
 	case phaseClaiming:
 		return m.claimRead(now, e)
-	case phaseAbandoning:
-		return m.abandonRead(now, e)
+	case phaseResolving:
+		return m.resolveRead(now, e)
 	}
 	return nil
 }
 
-// pick goes for a replica while there is time and a try left. Nothing has run
-// when it is called.
+// pick requests a replica if the deadline and the limit on sends allow another send.
+// No send of this request has run when pick is called.
 func (m *Machine) pick(now time.Time) []Action {
 	switch {
 	case m.finished:
@@ -187,8 +191,9 @@
 	if m.phase != phasePicking {
 		return nil
 	}
-	// A process that was paused up to here finds out before it sends: the
-	// deadline, on the monotonic clock, is over, and its caller has been told.
+	// A process may have been paused before this point. The check against the
+	// monotonic clock prevents a send after the deadline, when the caller has already
+	// been answered.
 	switch {
 	case m.finished:
 		return m.end(now, m.notRun(m.reason))
@@ -203,26 +208,25 @@
 	return []Action{Send{Replica: e.Replica, Attempt: m.attempt}}
 }
 
-// nextRound tries every replica again after a wait, if what stood in the way is
-// likely to pass: owners change while nodes are replaced, and their replicas are
-// cold to the new owner for a moment. Where load is the cause, trying again would
-// add to it.
-func (m *Machine) nextRound(now time.Time, why pb.Reason) []Action {
+// nextRound tries every replica again after a wait if the reason is transient: owners
+// change while nodes are replaced, and replicas are cold for a new owner. A retry
+// under overload would add load, so the request ends instead.
+func (m *Machine) nextRound(now time.Time, reason pb.Reason) []Action {
 	wait := firstRoundWait << m.round
-	if !passes(why) || m.round+1 == maxRounds || !now.Add(wait).Before(m.p.Deadline) {
-		return m.end(now, m.notRun(why))
+	if !isTransient(reason) || m.round+1 == maxRounds || !now.Add(wait).Before(m.p.Deadline) {
+		return m.end(now, m.notRun(reason))
 	}
 	m.round++
-	m.reason = why
+	m.reason = reason
 	m.tried = nil
 	m.phase = phasePicking
 	return []Action{Pick{Delay: wait}}
 }
 
-// passes reports whether a reason comes from a change in the fleet rather than
+// isTransient reports whether a reason results from a change in the fleet rather than
 // from load.
-func passes(why pb.Reason) bool {
-	switch why {
+func isTransient(reason pb.Reason) bool {
+	switch reason {
 	case pb.Reason_REASON_COLD,
 		pb.Reason_REASON_NOT_OWNER,
 		pb.Reason_REASON_PEER,
@@ -234,8 +238,8 @@
 	return false
 }
 
-// bestReason prefers why the last replica refused to the fact that no further
-// one is left.
+// bestReason returns the reason of the last refusal if a replica was tried, and
+// otherwise the reason why no replica is available.
 func (m *Machine) bestReason(none pb.Reason) pb.Reason {
 	if len(m.tried) > 0 {
 		return m.reason
@@ -268,9 +272,9 @@
 	return m.end(now, o)
 }
 
-// givenUp answers the caller at once. What is outstanding goes on, so that the
-// claim ends with what really happened.
-func (m *Machine) givenUp(e Cancelled) []Action {
+// cancelled answers the caller immediately. The outstanding action continues, so that
+// the claim records the actual outcome.
+func (m *Machine) cancelled(e Cancelled) []Action {
 	if m.finished || m.phase == phaseDone {
 		return nil
 	}
@@ -279,11 +283,12 @@
 	if m.phase == phaseSending {
 		o = m.unknown(e.Reason)
 	}
-	return m.tell(o)
+	return m.answer(o)
 }
 
-// notRun is the outcome while no send can have run. Before the claim is held,
-// an earlier submission with the same key may have run.
+// notRun returns the outcome of a request of which no send can have run. Before the
+// claim is held, the evidence is UNKNOWN because an earlier submission with the same
+// key may have run.
 func (m *Machine) notRun(reason pb.Reason) Outcome {
 	o := Outcome{
 		RequestID:  m.p.RequestID,
@@ -298,8 +303,8 @@
 	return o
 }
 
-// unknown is the outcome while a send is outstanding. A keyed caller may come
-// back for what the claim will say.
+// unknown returns the outcome while a send is outstanding. A caller with an
+// idempotency key may retry to read the outcome from the claim.
 func (m *Machine) unknown(reason pb.Reason) Outcome {
 	o := Outcome{
 		RequestID: m.p.RequestID,
@@ -313,26 +318,27 @@
 	return o
 }
 
-// tell gives the caller its answer, once.
-func (m *Machine) tell(o Outcome) []Action {
+// answer returns the outcome to the caller. It is called once.
+func (m *Machine) answer(o Outcome) []Action {
 	m.finished = true
 	return []Action{Finish{Outcome: o}}
 }
 
-// end answers the caller, if nobody has, and settles the claim if one is held.
+// end answers the caller if that has not happened yet, and completes the claim if it
+// is held.
 func (m *Machine) end(now time.Time, o Outcome) []Action {
 	var actions []Action
 	if m.finished {
 		actions = []Action{Revise{Outcome: o}}
 	} else {
-		actions = m.tell(o)
+		actions = m.answer(o)
 	}
 	if !m.held {
 		m.phase = phaseDone
 		return actions
 	}
-	m.phase = phaseSettling
-	m.final = o
-	m.settling = now
-	return append(actions, m.settle(0))
+	m.phase = phaseCompleting
+	m.finalOutcome = o
+	m.completionStart = now
+	return append(actions, m.completeClaim(0))
 }
--- a/policy/dispatch/simulation/world.go
+++ b/policy/dispatch/simulation/environment.go
@@ -10,26 +10,27 @@
 	"github.com/carobmill/carobmill/policy/dispatch"
 )
 
-// Environment is the oracle: a key-value store whose answers can be lost, late or
-// from the past, and a backend service that counts what it ran.
+// Environment simulates a key-value store, whose replies can be lost, delayed or
+// stale, and a backend service that counts the requests it ran.
 type Environment struct {
 	Now time.Time
-	// Runs counts by idempotency key, or by request id for requests without one.
+	// Runs counts runs by idempotency key, or by request id if there is no key.
 	Runs map[string]int
-	// LastRunner is the id of the request that ran last, by the same key.
+	// LastRunner is the id of the request that ran last, by the same key as Runs.
 	LastRunner map[string]string
-	// Uncertain keys met a crash or a send whose fate the sender could not know.
+	// Uncertain holds the keys with a crash or with a send whose result the sender
+	// cannot determine.
 	Uncertain map[string]bool
 	// Submissions holds every submission, oldest first.
 	Submissions []*Submission
 
-	// history holds every revision of a claim, oldest first.
+	// history holds every revision of each claim, oldest first.
 	history map[string][]version
 	rev     uint64
-	// writes and sends are on the way: each lands at any later time, or never.
-	writes []lateWrite
-	sends  []*Submission
-	broken Variant
+	// writes and sends are in flight. Each is delivered at any later time, or never.
+	writes  []delayedWrite
+	sends   []*Submission
+	variant Variant
 }
 
 type version struct {
@@ -37,56 +38,57 @@
 	claim *pb.Claim
 }
 
-type lateWrite struct {
-	key   string
-	at    uint64
-	claim *pb.Claim
+type delayedWrite struct {
+	key      string
+	revision uint64
+	claim    *pb.Claim
 }
 
-// Submission is one request of a caller, and the machine that dispatches it.
+// Submission is one request of a caller and the machine that dispatches it.
 type Submission struct {
-	// ID is the request id, Key the idempotency key or the id without one.
+	// ID is the request id. Key is the idempotency key, or the request id without
+	// one.
 	ID, Key, Digest string
 	Machine         *dispatch.Machine
-	// Pending is the outstanding action; nil when the machine waits for none.
+	// Pending is the outstanding action, or nil.
 	Pending dispatch.Action
-	// Crashed says that the node of the request ended.
+	// Crashed is set if the node of the request crashed.
 	Crashed bool
 	// Finished counts the final answers to the caller.
 	Finished int
-	// Reports holds what the caller was told, oldest first.
+	// Reports holds the outcomes reported to the caller, oldest first.
 	Reports []Report
 }
 
-// Report is an outcome and what was true of its key when it was told.
+// Report is an outcome and the number of runs of its key at that time.
 type Report struct {
 	Outcome dispatch.Outcome
-	// Ran counts runs so far and sends that may still run.
+	// Ran counts the runs so far and the sends in flight.
 	Ran int
 }
 
-// NewEnvironment returns a world without requests, whose machines have the faults of a
-// variant; the zero Variant has none.
-func NewEnvironment(broken Variant) *Environment {
+// NewEnvironment returns an environment without requests. Its machines have the
+// faults of the variant; the zero Variant has none.
+func NewEnvironment(variant Variant) *Environment {
 	return &Environment{
 		Now:        time.Unix(1000, 0),
 		Runs:       make(map[string]int),
 		LastRunner: make(map[string]string),
 		Uncertain:  make(map[string]bool),
 		history:    make(map[string][]version),
-		broken:     broken,
+		variant:    variant,
 	}
 }
 
-// Submit starts a request, without an idempotency key when key is empty, whose
-// deadline is left from now.
-func (w *Environment) Submit(key, digest string, left time.Duration) *Submission {
+// Submit starts a request whose deadline is the remaining time from now. An empty key
+// means that the request has no idempotency key.
+func (w *Environment) Submit(key, digest string, remaining time.Duration) *Submission {
 	s := &Submission{ID: fmt.Sprintf("r%d", len(w.Submissions)), Key: key, Digest: digest}
 	s.Machine = dispatch.New(dispatch.Params{
 		RequestID:         s.ID,
 		Keyed:             key != "",
 		Digest:            digest,
-		Deadline:          w.Now.Add(left),
+		Deadline:          w.Now.Add(remaining),
 		CompletionTimeout: 1000 * time.Hour,
 	})
 	if key == "" {
@@ -97,26 +99,26 @@
 	return s
 }
 
-// Apply takes over the actions that a machine asked for. It panics when the
-// machine asks for a second one before the answer to the first.
+// Apply performs the actions that a machine returned. It panics if the machine
+// returns a second action before the answer to the first.
 func (w *Environment) Apply(s *Submission, actions []dispatch.Action) {
-	for _, a := range w.broken.actions(actions) {
+	for _, a := range w.variant.actions(actions) {
 		switch a := a.(type) {
 		case dispatch.Finish:
 			s.Finished++
-			w.tell(s, a.Outcome)
+			w.report(s, a.Outcome)
 		case dispatch.Revise:
-			w.tell(s, a.Outcome)
+			w.report(s, a.Outcome)
 		default:
 			if s.Pending != nil {
-				panic("two actions outstanding")
+				panic("machine returned a second action before the answer to the first")
 			}
 			s.Pending = a
 		}
 	}
 }
 
-func (w *Environment) tell(s *Submission, o dispatch.Outcome) {
+func (w *Environment) report(s *Submission, o dispatch.Outcome) {
 	ran := w.Runs[s.Key]
 	for _, late := range w.sends {
 		if late.Key == s.Key {
@@ -126,7 +128,7 @@
 	s.Reports = append(s.Reports, Report{Outcome: o, Ran: ran})
 }
 
-// Step carries out the outstanding action of a Submission with a drawn fault.
+// Step performs the outstanding action of a Submission, with a drawn fault.
 func (w *Environment) Step(t *rapid.T, s *Submission, faults bool) {
 	a := s.Pending
 	s.Pending = nil
@@ -142,46 +144,47 @@
 		e = dispatch.Picked{Replica: fmt.Sprintf("replica%d", len(a.Tried))}
 		if faults && Draw(t, "no replica", 5) == 0 {
 			reasons := []pb.Reason{pb.Reason_REASON_LIMIT, pb.Reason_REASON_COLD}
-			e = dispatch.Picked{Reason: reasons[Draw(t, "why", len(reasons))]}
+			e = dispatch.Picked{Reason: reasons[Draw(t, "reason", len(reasons))]}
 		}
 	case dispatch.Send:
 		e = w.send(t, s, a, faults)
 	}
-	w.Apply(s, s.Machine.Step(w.Now, w.broken.event(e, a)))
+	w.Apply(s, s.Machine.Step(w.Now, w.variant.event(e, a)))
 }
 
-func (w *Environment) write(t *rapid.T, s *Submission, at uint64, claim *pb.Claim, faults bool) dispatch.Event {
-	fate := 0
+func (w *Environment) write(t *rapid.T, s *Submission, revision uint64, claim *pb.Claim, faults bool) dispatch.Event {
+	fault := 0
 	if faults {
-		fate = Draw(t, "write", 8)
+		fault = Draw(t, "write", 8)
 	}
-	switch fate {
+	switch fault {
 	case 1:
-		w.swap(s.Key, at, claim)
+		w.compareAndSwap(s.Key, revision, claim)
 		return dispatch.ClaimWritten{Result: dispatch.WriteUncertain}
 	case 2:
-		w.writes = append(w.writes, lateWrite{key: s.Key, at: at, claim: claim})
+		w.writes = append(w.writes, delayedWrite{key: s.Key, revision: revision, claim: claim})
 		return dispatch.ClaimWritten{Result: dispatch.WriteUncertain}
 	case 3:
 		return dispatch.ClaimWritten{Result: dispatch.WriteFailed}
 	case 4:
-		// Applied, then replayed on the way: the second copy's answer comes back.
-		w.swap(s.Key, at, claim)
+		// The write is applied and then duplicated in transit. The reply to the
+		// second copy is returned.
+		w.compareAndSwap(s.Key, revision, claim)
 	}
-	rev, ok := w.swap(s.Key, at, claim)
+	rev, ok := w.compareAndSwap(s.Key, revision, claim)
 	if !ok {
 		return dispatch.ClaimWritten{Result: dispatch.WriteConflict}
 	}
 	return dispatch.ClaimWritten{Result: dispatch.WriteDone, Revision: rev}
 }
 
-func (w *Environment) swap(key string, at uint64, claim *pb.Claim) (uint64, bool) {
+func (w *Environment) compareAndSwap(key string, revision uint64, claim *pb.Claim) (uint64, bool) {
 	h := w.history[key]
 	var latest uint64
 	if len(h) > 0 {
 		latest = h[len(h)-1].rev
 	}
-	if at != latest {
+	if revision != latest {
 		return 0, false
 	}
 	w.rev++
@@ -196,7 +199,7 @@
 		case 1:
 			return dispatch.ClaimRead{Result: dispatch.ReadFailed}
 		case 2:
-			h = h[:Draw(t, "past", len(h)+1)]
+			h = h[:Draw(t, "stale revision", len(h)+1)]
 		}
 	}
 	if len(h) == 0 {
@@ -208,16 +211,16 @@
 
 func (w *Environment) send(t *rapid.T, s *Submission, a dispatch.Send, faults bool) dispatch.Event {
 	e := dispatch.Replied{Attempt: a.Attempt, Evidence: pb.Evidence_EVIDENCE_UNKNOWN, Reason: pb.Reason_REASON_CONNECTION}
-	fate := 0
+	fault := 0
 	if faults {
-		fate = Draw(t, "send", 5)
+		fault = Draw(t, "send", 5)
 	}
-	switch fate {
-	case 1: // ran, and the reply was lost
+	switch fault {
+	case 1: // the request ran and the reply was lost
 		w.run(s)
-	case 2: // on the way, and the connection was lost
+	case 2: // the request is in flight and the connection was lost
 		w.sends = append(w.sends, s)
-	case 3: // the connection was lost before the backend server had it all
+	case 3: // the connection was lost before the request was complete
 	case 4:
 		e.Evidence, e.Reason = pb.Evidence_EVIDENCE_NOT_RUN, pb.Reason_REASON_SHED
 		return e
@@ -236,19 +239,19 @@
 	w.LastRunner[s.Key] = s.ID
 }
 
-// DeliverOne lets one write or send that was on the way arrive, or vanish.
+// DeliverOne delivers or drops one write or send in flight.
 func (w *Environment) DeliverOne(t *rapid.T) {
 	n := len(w.writes) + len(w.sends)
 	if n == 0 {
 		return
 	}
-	i := Draw(t, "landing", n)
+	i := Draw(t, "message", n)
 	arrives := Draw(t, "arrives", 4) > 0
 	if i < len(w.writes) {
 		late := w.writes[i]
 		w.writes = append(w.writes[:i:i], w.writes[i+1:]...)
 		if arrives {
-			w.swap(late.key, late.at, late.claim)
+			w.compareAndSwap(late.key, late.revision, late.claim)
 		}
 		return
 	}
@@ -260,19 +263,19 @@
 	}
 }
 
-// Crash ends a Submission's node; what it was doing may still arrive.
+// Crash ends a Submission's node. The outstanding action may still be delivered.
 func (w *Environment) Crash(t *rapid.T, s *Submission) {
 	w.Uncertain[s.Key] = true
 	s.Crashed = true
-	arrives := Draw(t, "left the node", 2) == 0
+	arrives := Draw(t, "left the node before the crash", 2) == 0
 	switch a := s.Pending.(type) {
 	case dispatch.Claim:
 		if arrives {
-			w.writes = append(w.writes, lateWrite{key: s.Key, at: a.Revision, claim: a.Value})
+			w.writes = append(w.writes, delayedWrite{key: s.Key, revision: a.Revision, claim: a.Value})
 		}
 	case dispatch.CompleteClaim:
 		if arrives {
-			w.writes = append(w.writes, lateWrite{key: s.Key, at: a.Revision, claim: a.Value})
+			w.writes = append(w.writes, delayedWrite{key: s.Key, revision: a.Revision, claim: a.Value})
 		}
 	case dispatch.Send:
 		if arrives {
@@ -282,18 +285,19 @@
 	s.Pending = nil
 }
 
-// Outstanding returns the submissions with something outstanding.
+// Outstanding returns the submissions with an outstanding action.
 func (w *Environment) Outstanding() []*Submission {
-	var busy []*Submission
+	var outstanding []*Submission
 	for _, s := range w.Submissions {
 		if s.Pending != nil {
-			busy = append(busy, s)
+			outstanding = append(outstanding, s)
 		}
 	}
-	return busy
+	return outstanding
 }
 
-// Drain ends the faults and lets everything finish.
+// Drain performs the remaining actions without faults until nothing is outstanding or
+// in flight.
 func (w *Environment) Drain(t *rapid.T) {
 	for len(w.Outstanding())+len(w.writes)+len(w.sends) > 0 {
 		w.DeliverOne(t)
--- a/policy/dispatch/simulation/variant.go
+++ b/policy/dispatch/simulation/variant.go
@@ -1,17 +1,17 @@
-// Package simulation runs the dispatch of requests in virtual time against a
-// platform and a backend service that lose, delay and repeat messages, as a check
-// that draws the faults (rapid) asks for them. It counts what really ran, so that
-// what the callers were told can be compared with it.
+// Package simulation runs the dispatch of requests in virtual time against a platform
+// and a backend service that lose, delay and duplicate messages. A property-based
+// test (rapid) draws the faults. The simulation counts the runs of each request, so
+// that a test can compare them with the reported outcomes.
 package simulation
 
 import "github.com/carobmill/carobmill/policy/dispatch"
 
-// Variant is a deliberate fault in the machine, made by altering what goes in
-// or comes out of it; nil functions alter nothing.
+// Variant is a deliberate fault in the machine, injected by altering its events or
+// actions. A nil function alters nothing.
 type Variant struct {
-	// OnEvent alters the answer to an action.
+	// OnEvent alters the event that answers an action.
 	OnEvent func(e dispatch.Event, answers dispatch.Action) dispatch.Event
-	// OnAction alters an action; nil drops it.
+	// OnAction alters an action; nil drops the action.
 	OnAction func(dispatch.Action) dispatch.Action
 }
 
