--- a/policy/route/route.go
+++ b/policy/route/route.go
@@ -1,7 +1,7 @@
-// Package route says where a caller's request may go. A Configuration is what the
-// operators accepted; Index is its compiled, immutable form. A request takes one
-// Index when it arrives and keeps it to its end, so that its answer never mixes two
-// configurations.
+// Package route maps a caller's request to the services that answer it. A
+// Configuration holds the accepted settings; an Index is its compiled, immutable
+// form. A request uses the Index that is current on arrival until it ends, so that
+// its answer never mixes two configurations.
 package route
 
 import (
@@ -10,45 +10,47 @@
 	"time"
 )
 
-// Configuration is one accepted version of everything that operators decide.
+// Configuration is one accepted version of all settings of the operators.
 type Configuration struct {
-	// Version rises with each accepted configuration, in uneven steps.
+	// Version rises with each accepted configuration, not necessarily by 1.
 	Version  uint64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
 }
 
-// Route says how requests of one host and path prefix are answered.
+// Route describes how requests for one host and path prefix are answered.
 type Route struct {
 	// Name is unique in a configuration and stable across versions.
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	// Shards names the services that each hold one shard; a request goes to a
-	// replica of each. Empty for a route that a single replica answers.
+	// Shards lists the services that each hold one shard. A request is sent to a
+	// replica of each. It is empty for a route that a single replica answers.
 	Shards []string
-	// Split names the services among which single-replica requests are
-	// distributed, by weight.
+	// Split lists the services among which single-replica requests are distributed by
+	// weight.
 	Split []Weighted
-	// Idempotent requests may run more than once.
+	// Idempotent is set if requests may run more than once.
 	Idempotent bool
-	// MaxAttempts bounds the replicas of one shard that a request is sent to.
+	// MaxAttempts bounds the number of replicas of one shard to which a request is
+	// sent.
 	MaxAttempts int
-	// Timeout ends a request with a final answer.
+	// Timeout is the time after which a request ends with a final answer.
 	Timeout time.Duration
-	// Objective is the latency within which an answer has its full use.
+	// Objective is the target latency.
 	Objective time.Duration
 	// Priority 0 is the most urgent.
 	Priority int
-	// TopRecords is how many of the greatest records a merged answer holds.
+	// TopRecords is the number of greatest records in a merged answer.
 	TopRecords int
-	// MinCoverage is the least share of shards, 0 to 1, that makes a success.
+	// MinCoverage is the minimum share of shards, from 0 to 1, for a successful
+	// answer.
 	MinCoverage float64
 }
 
-// Weighted is one part of a split route.
+// Weighted is one service of a split route and its weight.
 type Weighted struct {
 	Service string
 	Weight  float64
@@ -57,18 +59,19 @@
 // Service is a set of interchangeable replicas.
 type Service struct {
 	Name string
-	// HealthPath answers health checks.
+	// HealthPath is the path of the health check.
 	HealthPath string
-	// MaxConnections is what one replica accepts from all nodes together.
+	// MaxConnections is the number of connections that one replica accepts from all
+	// nodes together.
 	MaxConnections int
-	// ColdFor is how long a replica stays cold after its start.
+	// ColdFor is the time after its start during which a replica is cold.
 	ColdFor time.Duration
-	// ColdPerSecond is the request rate that a cold replica bears from all nodes
-	// together; 0 where it is only slower.
+	// ColdPerSecond is the request rate that a cold replica accepts from all nodes
+	// together. It is 0 if a cold replica is slower but needs no rate limit.
 	ColdPerSecond float64
 }
 
-// Limits bounds what a caller may send; zero means no bound.
+// Limits bounds the requests of callers. Zero values mean no limit.
 type Limits struct {
 	MaxHeaderBytes int64
 	MaxBodyBytes   int64
@@ -79,7 +82,7 @@
 // Gathers reports whether answers are merged from shards.
 func (r *Route) Gathers() bool { return len(r.Shards) > 0 }
 
-// Index is a compiled configuration. Immutable.
+// Index is a compiled, immutable configuration.
 type Index struct {
 	Version  uint64
 	Limits   Limits
@@ -88,7 +91,7 @@
 	services map[string]*Service
 }
 
-// NewIndex compiles a configuration, which must not be changed any more.
+// NewIndex compiles a configuration. The caller must not change c afterwards.
 func NewIndex(c *Configuration) *Index {
 	x := &Index{
 		Version:  c.Version,
@@ -104,7 +107,8 @@
 		x.names[r.Name] = true
 	}
 	for _, routes := range x.hosts {
-		// Longest prefix first: the first one that begins a path is the match.
+		// The longest prefix comes first, so that the first match is the most
+		// specific one.
 		slices.SortStableFunc(routes, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	for i := range c.Services {
@@ -113,7 +117,7 @@
 	return x
 }
 
-// Match returns the route of a host and an undecoded path, or nil.
+// Match returns the route for a host and an undecoded path, or nil.
 func (x *Index) Match(host, path string) *Route {
 	for _, r := range x.hosts[normalHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -123,8 +127,8 @@
 	return nil
 }
 
-// CanGather reports whether the least coverage of any route that gathers can be had from
-// the services for which reachable holds. It is true where no route gathers.
+// CanGather reports whether at least one route that merges shards can reach its
+// minimum coverage with the reachable services. It is true if no route merges shards.
 func (x *Index) CanGather(reachable func(service string) bool) bool {
 	gathers := false
 	for _, routes := range x.hosts {
@@ -141,7 +145,7 @@
 	return !gathers
 }
 
-// coverage is the share of the route's shards for which reachable holds.
+// coverage returns the share of the route's shards that are reachable.
 func (r *Route) coverage(reachable func(service string) bool) float64 {
 	n := 0
 	for _, shard := range r.Shards {
@@ -152,13 +156,13 @@
 	return float64(n) / float64(len(r.Shards))
 }
 
-// HasRoute reports whether a route of that name exists.
+// HasRoute reports whether a route with the name exists.
 func (x *Index) HasRoute(name string) bool { return x.names[name] }
 
 // Service returns a service by name, or nil.
 func (x *Index) Service(name string) *Service { return x.services[name] }
 
-// normalHost drops the port and the case, which do not tell hosts apart.
+// normalHost removes the port and lowers the case, which do not distinguish hosts.
 func normalHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
--- a/policy/route/route_test.go
+++ b/policy/route/route_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Operators look at shares over some hundred requests, of all nodes together: each
-// node with few of them must be near its weights all the time.
+// Guards against a share that deviates from its weight over a few hundred requests,
+// even on nodes that receive few of them.
 func TestSplitterStaysWithinTwoRequestsOfItsWeights(t *testing.T) {
 	c := qt.New(t)
 	parts := []route.Weighted{{Service: "a", Weight: 70}, {Service: "b", Weight: 25}, {Service: "c", Weight: 5}}
@@ -45,8 +45,8 @@
 		for n := 1.0; n <= 300; n++ {
 			counts[s.Next(parts)]++
 			for i, p := range parts {
-				off := counts[i] - n*p.Weight/100
-				c.Assert(off > -2 && off < 2, qt.IsTrue, qt.Commentf("part %d is off by %.1f after %.0f", i, off, n))
+				deviation := counts[i] - n*p.Weight/100
+				c.Assert(deviation > -2 && deviation < 2, qt.IsTrue, qt.Commentf("part %d deviates by %.1f requests after %.0f", i, deviation, n))
 			}
 		}
 	}
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestCanGatherRequiresMinCoverageOfAnyRoute guards against nodes that keep callers
-// although no gathered answer can be had.
+// Guards against a node that continues to accept callers although no route can reach
+// its minimum coverage.
 func TestCanGatherRequiresMinCoverageOfAnyRoute(t *testing.T) {
 	c := qt.New(t)
 	x := route.NewIndex(&route.Configuration{Version: 1, Routes: []route.Route{
@@ -72,7 +72,7 @@
 	}})
 	for reachable, want := range map[string]bool{"": false, "s0 s1": false, "s0 s1 s3": true, "s0 s1 s2 s3": true} {
 		got := x.CanGather(func(service string) bool { return strings.Contains(reachable, service) })
-		c.Check(got, qt.Equals, want, qt.Commentf("reachable: %s", reachable))
+		c.Check(got, qt.Equals, want, qt.Commentf("reachable shards: %q", reachable))
 	}
 	none := route.NewIndex(&route.Configuration{Version: 1, Routes: []route.Route{{Name: "one", Host: "a.example", Prefix: "/"}}})
 	c.Assert(none.CanGather(func(string) bool { return false }), qt.IsTrue)
--- a/policy/route/split.go
+++ b/policy/route/split.go
@@ -1,15 +1,16 @@
 package route
 
-// Splitter distributes requests of one split route by smooth weighted round robin:
-// after any n requests each part is within one request of its share, where random
-// choice would be off by the square root of n. Not safe for concurrent use.
+// Splitter distributes the requests of one split route by smooth weighted round
+// robin. The deviation of a part from its share does not grow with the number of
+// requests. With random selection it would grow with the square root. A Splitter is
+// not safe for concurrent use.
 type Splitter struct {
 	current []float64
 }
 
-// NewSplitter returns a splitter that begins at a point of the cycle that differs by
-// seed, 0 to 1, so that nodes with few requests each do not all begin with the same
-// part.
+// NewSplitter returns a splitter whose starting point in the cycle depends on seed,
+// from 0 to 1. Different seeds prevent nodes with few requests from all starting with
+// the same part.
 func NewSplitter(parts []Weighted, seed float64) *Splitter {
 	s := &Splitter{current: make([]float64, len(parts))}
 	for i, p := range parts {
@@ -19,8 +20,8 @@
 	return s
 }
 
-// Next returns the index of the part that the next request goes to. parts must be
-// those given to NewSplitter, with at least one weight above 0.
+// Next returns the index of the part for the next request. parts must be the slice
+// passed to NewSplitter and include at least one weight above 0.
 func (s *Splitter) Next(parts []Weighted) int {
 	total, best := 0.0, -1
 	for i, p := range parts {
