--- a/policy/routing/routing_test.go
+++ b/policy/routing/routing_test.go
@@ -13,10 +13,9 @@
 	"github.com/carobmill/carobmill/policy/routing"
 )
 
-const normal = 10 * time.Millisecond
+const baseLatency = 10 * time.Millisecond
 
-// shard drives a table over the replicas r0, r1 and so on of one shard, one
-// request at a time.
+// shard sends requests one at a time to replicas r0, r1 and so on of one shard.
 type shard struct {
 	*routing.Table
 	now      time.Time
@@ -35,7 +34,7 @@
 	for i := range n {
 		name := fmt.Sprintf("r%d", i)
 		s.replicas = append(s.replicas, &config.Replica{Name: name, InService: true})
-		s.latency[name] = normal
+		s.latency[name] = baseLatency
 	}
 	return s
 }
@@ -56,53 +55,53 @@
 	s := newShard(3)
 	s.run(3000)
 	for name, n := range s.picked {
-		c.Check(n > 800 && n < 1200, qt.IsTrue, qt.Commentf("%s: %d", name, n))
+		c.Check(n > 800 && n < 1200, qt.IsTrue, qt.Commentf("%s was picked %d of 3000 times", name, n))
 	}
 }
 
-// One replica of three becomes ten times slower than its siblings. Queries must
-// stop meeting it after a few answers, yet notice its recovery.
+// Guards against queries that continue to use a replica ten times slower than the
+// others, and against a recovery that is not detected.
 func TestStragglerIsAvoidedAndProbed(t *testing.T) {
 	c := qt.New(t)
 	s := newShard(3)
 	s.run(300)
-	s.latency["r1"] = 10 * normal
+	s.latency["r1"] = 10 * baseLatency
 	s.run(10000)
-	c.Assert(s.picked["r1"] >= 2 && s.picked["r1"] <= 40, qt.IsTrue, qt.Commentf("%v", s.picked))
-	s.latency["r1"] = normal
+	c.Assert(s.picked["r1"] >= 2 && s.picked["r1"] <= 40, qt.IsTrue, qt.Commentf("picked: %v", s.picked))
+	s.latency["r1"] = baseLatency
 	s.run(30000)
 	s.run(3000)
-	c.Assert(s.picked["r1"] > 800, qt.IsTrue, qt.Commentf("%v", s.picked))
+	c.Assert(s.picked["r1"] > 800, qt.IsTrue, qt.Commentf("picked: %v", s.picked))
 }
 
-// One answer of a replica is slow by chance. It must not lose its share of the
-// requests for long.
+// Guards against a replica that loses its share of requests for long after one slow
+// reply.
 func TestOneSlowReplyDoesNotReduceShareForLong(t *testing.T) {
 	c := qt.New(t)
 	s := newShard(2)
 	s.run(100)
-	s.latency["r1"] = 20 * normal
+	s.latency["r1"] = 20 * baseLatency
 	for s.picked["r1"] = 0; s.picked["r1"] == 0; {
 		s.run(1)
 	}
-	s.latency["r1"] = normal
+	s.latency["r1"] = baseLatency
 	s.run(6000)
 	s.run(1000)
-	c.Assert(s.picked["r1"] > 300, qt.IsTrue, qt.Commentf("%v", s.picked))
+	c.Assert(s.picked["r1"] > 300, qt.IsTrue, qt.Commentf("picked: %v", s.picked))
 }
 
 func TestSlowerOfTwoReplicasIsAvoided(t *testing.T) {
 	c := qt.New(t)
 	s := newShard(2)
-	s.latency["r0"] = 10 * normal
+	s.latency["r0"] = 10 * baseLatency
 	s.run(5000)
-	c.Assert(s.picked["r0"] < 50, qt.IsTrue, qt.Commentf("%v", s.picked))
+	c.Assert(s.picked["r0"] < 50, qt.IsTrue, qt.Commentf("picked: %v", s.picked))
 }
 
 func TestReplicaThatIsNotWarmGetsASmallShare(t *testing.T) {
 	for _, test := range []struct {
-		state pb.ReplicaState
-		most  int
+		state     pb.ReplicaState
+		maxPicked int
 	}{
 		{pb.ReplicaState_REPLICA_STATE_COLD, 350},
 		{pb.ReplicaState_REPLICA_STATE_LOST, 20},
@@ -113,8 +112,8 @@
 			s := newShard(3)
 			s.ApplyReport(&pb.ReplicaNews{Replica: "r2", State: test.state, Limit: 1}, s.now)
 			s.run(10000)
-			c.Assert(s.picked["r2"] <= test.most, qt.IsTrue, qt.Commentf("%v", s.picked))
-			c.Assert(s.picked["r2"] > 0, qt.Equals, test.most > 0)
+			c.Assert(s.picked["r2"] <= test.maxPicked, qt.IsTrue, qt.Commentf("picked: %v", s.picked))
+			c.Assert(s.picked["r2"] > 0, qt.Equals, test.maxPicked > 0)
 			for range 100 {
 				c.Assert(s.PickHedge(s.replicas[1:], s.now).Name, qt.Equals, "r1")
 			}
@@ -122,8 +121,8 @@
 	}
 }
 
-// An owner refuses: it is not the owner, or its limit is reached. The replica
-// is well, so its latency must not suffer and it is soon chosen again.
+// Guards against a refusal that counts as a slow reply or causes a long pause. An
+// owner refuses if it does not own the replica or its limit is reached.
 func TestRefusalPausesReplicaAndKeepsItsLatency(t *testing.T) {
 	c := qt.New(t)
 	s := newShard(2)
@@ -152,9 +151,8 @@
 	c.Assert(s.Pick(nil, s.now), qt.IsNil)
 }
 
-// The last replica of a shard is chosen whatever its state, apart from one that
-// is out of service: the owner has the final say.
-func TestLastReplicaIsPickedWhateverItsState(t *testing.T) {
+// Guards against a shard without an answer while its last replica is in service.
+func TestLostReplicaIsPickedWhenItIsTheLast(t *testing.T) {
 	c := qt.New(t)
 	s := newShard(1)
 	s.ApplyReport(&pb.ReplicaNews{Replica: "r0", State: pb.ReplicaState_REPLICA_STATE_LOST}, s.now)
@@ -164,17 +162,17 @@
 func TestPickDoesNotAllocate(t *testing.T) {
 	c := qt.New(t)
 	s := newShard(3)
-	s.latency["r2"] = 10 * normal
+	s.latency["r2"] = 10 * baseLatency
 	s.run(100)
 	c.Assert(testing.AllocsPerRun(1000, func() {
 		r := s.Pick(s.replicas, s.now)
 		s.Sent(r.Name, s.now)
-		s.Done(r.Name, s.now, normal, routing.ResultOK)
+		s.Done(r.Name, s.now, baseLatency, routing.ResultOK)
 	}), qt.Equals, 0.0)
 }
 
-// BenchmarkPick gives the cost of choosing, sending and ending one subrequest
-// while a node knows all replicas of that many shards.
+// BenchmarkPick measures picking, sending and ending one subrequest while the table
+// holds the replicas of the given number of shards.
 func BenchmarkPick(b *testing.B) {
 	for _, shards := range []int{10, 100, 1700} {
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
@@ -192,7 +190,7 @@
 				for _, c := range candidates {
 					r := table.Pick(c, now)
 					table.Sent(r.Name, now)
-					table.Done(r.Name, now, normal, routing.ResultOK)
+					table.Done(r.Name, now, baseLatency, routing.ResultOK)
 				}
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*shards), "ns/subrequest")
@@ -200,9 +198,8 @@
 	}
 }
 
-// The callers' load comes back to a replica as soon as its owner calls it warm:
-// while it was cold it answered eight times slower and refused what was too much,
-// and neither may keep it out as a straggler or as refusing.
+// Guards against a replica that is treated as a straggler or stays paused after its
+// owner reports it warm, because of slow replies and refusals while it was cold.
 func TestHistoryIsResetWhenReplicaBecomesWarm(t *testing.T) {
 	c := qt.New(t)
 	s := newShard(3)
@@ -210,18 +207,18 @@
 	s.ApplyReport(&pb.ReplicaNews{Replica: "r0", State: pb.ReplicaState_REPLICA_STATE_COLD, Limit: 1}, s.now)
 	for range 5 {
 		s.Sent("r0", s.now)
-		s.now = s.now.Add(8 * normal)
-		s.Done("r0", s.now, 8*normal, routing.ResultOK)
+		s.now = s.now.Add(8 * baseLatency)
+		s.Done("r0", s.now, 8*baseLatency, routing.ResultOK)
 	}
 	s.Sent("r0", s.now)
 	s.Done("r0", s.now, 0, routing.ResultRefused)
 	s.ApplyReport(&pb.ReplicaNews{Replica: "r0", State: pb.ReplicaState_REPLICA_STATE_WARM, Limit: 3}, s.now)
 	s.run(300)
-	c.Check(s.picked["r0"] > 50, qt.IsTrue, qt.Commentf("picked %d of 300 times", s.picked["r0"]))
+	c.Check(s.picked["r0"] > 50, qt.IsTrue, qt.Commentf("r0 was picked %d of 300 times", s.picked["r0"]))
 }
 
-// A cold replica gets copies one after the other, not faster than the pause, and
-// none while one is out, after a refusal, or once it is warm.
+// Guards against concurrent copies to a cold replica, copies within the pause, and
+// copies after a refusal or once the replica is warm.
 func TestColdReplicaGetsOneWarmUpCopyAtATime(t *testing.T) {
 	c := qt.New(t)
 	s := newShard(3)
@@ -234,11 +231,11 @@
 			copies++
 			s.Sent(r.Name, s.now)
 			c.Assert(s.PickWarmUp(s.replicas, s.now.Add(time.Hour)), qt.IsNil)
-			s.Done(r.Name, s.now.Add(8*normal), 8*normal, routing.ResultCancelled)
+			s.Done(r.Name, s.now.Add(8*baseLatency), 8*baseLatency, routing.ResultCancelled)
 		}
 		s.now = s.now.Add(time.Millisecond)
 	}
-	c.Check(copies >= 18 && copies <= 20, qt.IsTrue, qt.Commentf("%d copies in a second", copies))
+	c.Check(copies >= 18 && copies <= 20, qt.IsTrue, qt.Commentf("%d warm-up copies in a second", copies))
 	s.now = s.now.Add(time.Second)
 	s.Sent("r0", s.now.Add(-time.Second))
 	s.Done("r0", s.now, 0, routing.ResultRefused)
--- a/policy/routing/table.go
+++ b/policy/routing/table.go
@@ -8,92 +8,95 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
-// Result is how a subrequest ended, as far as the choice of a replica goes.
+// Result is the result of a subrequest as far as it affects the choice of a replica.
 type Result int
 
 const (
 	// ResultOK means that the replica answered.
 	ResultOK Result = iota
-	// ResultFailed means that the replica answered with an error or lost the
-	// connection.
+	// ResultFailed means that the replica answered with an error or that its
+	// connection was lost.
 	ResultFailed
-	// ResultCancelled means that the subrequest was given up: the latency is a
-	// lower bound.
+	// ResultCancelled means that the subrequest was cancelled. Its latency is a lower
+	// bound.
 	ResultCancelled
-	// ResultRefused means that an owner refused for a limit, a cold replica or
-	// because it does not own the replica. It says nothing about latency.
+	// ResultRefused means that an owner refused the subrequest because of a limit,
+	// because the replica is cold, or because the owner does not own the replica. It
+	// provides no latency sample.
 	ResultRefused
-	// ResultNoPeer means that no owner of the replica could be reached.
+	// ResultNoPeer means that no owner of the replica was reachable.
 	ResultNoPeer
 )
 
 const (
-	// latencyWeight smooths the latency of a busy replica over some ten answers.
+	// latencyWeight is the weight of one answer in the moving average of a busy
+	// replica.
 	latencyWeight = 0.1
-	// staleAfter is the idle time that makes an answer count as much as all
-	// earlier ones.
+	// staleAfter is the idle time after which one answer has the same weight as all
+	// earlier answers.
 	staleAfter = time.Second
-	// outlier bounds one answer to so many times the average: a few random slow
-	// answers must not look like a slow replica.
-	outlier = 3
-	// firstLatency stands for a replica without answers, until siblings are
-	// known: low enough that each is tried.
+	// outlierFactor bounds a latency sample to a multiple of the average, so that a
+	// few random slow answers do not make a replica slow.
+	outlierFactor = 3
+	// firstLatency is assumed for a replica without answers. It is low, so that each
+	// replica is tried.
 	firstLatency = time.Millisecond
-	// refusedPause is how long a replica is avoided after a refusal; it doubles
-	// with each in a row up to maxPause.
+	// refusedPause is the time without picks after a refusal. It doubles with each
+	// consecutive refusal or failure, up to maxPause.
 	refusedPause = 5 * time.Millisecond
 	// failedPause is the same after a failure.
 	failedPause = 20 * time.Millisecond
 	maxPause    = time.Second
 )
 
-// replica is what one node knows about one replica.
+// replica is the state of one replica as observed by this node.
 type replica struct {
 	// latency is a moving average in nanoseconds; 0 before the first answer.
 	latency float64
-	// answered is when latency last changed.
-	answered time.Time
-	inFlight int
-	// elsewhere is what an owner reported at newsAt beyond this node's own
-	// requests, and limit that owner's limit.
-	elsewhere int
-	limit     int
-	newsAt    time.Time
-	state     pb.ReplicaState
-	// pausedUntil is when the replica is chosen again after failures in a row.
+	// updatedAt is the time of the last change of latency.
+	updatedAt time.Time
+	inFlight  int
+	// otherInFlight is the number of requests in flight from other nodes, and limit
+	// the concurrency limit. Both were reported by an owner at reportedAt.
+	otherInFlight int
+	limit         int
+	reportedAt    time.Time
+	state         pb.ReplicaState
+	// pausedUntil is the end of the pause after consecutive failures.
 	pausedUntil time.Time
 	failures    int
-	// offered is when the replica last got its share as a slow or cold one.
-	offered time.Time
+	// lastProbe is the time of the last request while the replica was a straggler or
+	// not reported warm.
+	lastProbe time.Time
 }
 
-// Table holds the recent latency and load of all replicas that a node uses.
+// Table holds the recent latency and load of the replicas that a node uses.
 type Table struct {
 	rng      *rand.Rand
 	replicas map[string]*replica
-	// cold counts replicas that were last reported cold.
+	// cold counts the replicas that were last reported cold.
 	cold int
-	// usable is scratch space of Pick, kept to avoid an allocation each.
-	usable []choice
+	// choices is a buffer that Pick reuses to avoid allocations.
+	choices []choice
 }
 
-// New returns a table that knows nothing. rng is used by Pick.
+// New returns an empty table. Pick uses rng.
 func New(rng *rand.Rand) *Table {
 	return &Table{rng: rng, replicas: make(map[string]*replica)}
 }
 
-// Sent counts a subrequest to a replica; Done must follow.
+// Sent counts a subrequest to a replica. Done must follow.
 func (t *Table) Sent(name string, now time.Time) {
-	r := t.of(name)
+	r := t.replica(name)
 	r.inFlight++
 	if r.state != pb.ReplicaState_REPLICA_STATE_WARM {
-		r.offered = now
+		r.lastProbe = now
 	}
 }
 
 // Done ends a subrequest.
 func (t *Table) Done(name string, now time.Time, latency time.Duration, result Result) {
-	r := t.of(name)
+	r := t.replica(name)
 	r.inFlight = max(r.inFlight-1, 0)
 	switch result {
 	case ResultOK:
@@ -101,13 +104,13 @@
 		r.pausedUntil = time.Time{}
 		r.observe(now, latency)
 	case ResultCancelled:
-		// A request that has lasted so long can be expected to last as long
-		// again.
+		// The remaining time is estimated to be as long as the time already elapsed.
 		if float64(latency) > r.latency {
 			r.observe(now, 2*latency)
 		}
 		if r.state == pb.ReplicaState_REPLICA_STATE_COLD {
-			// It took the copy: the refusals before were for a taken place.
+			// The replica accepted the copy, so the earlier refusals were caused by
+			// an occupied slot.
 			r.failures = 0
 		}
 	case ResultRefused:
@@ -117,25 +120,24 @@
 	}
 }
 
-// ApplyReport applies what an owner reported about a replica.
-func (t *Table) ApplyReport(news *pb.ReplicaNews, now time.Time) {
-	r := t.of(news.GetReplica())
-	r.elsewhere = max(int(news.GetInFlight())-r.inFlight, 0)
-	r.limit = int(news.GetLimit())
-	r.newsAt = now
-	if news.GetState() != pb.ReplicaState_REPLICA_STATE_UNSPECIFIED {
-		t.become(r, news.GetState())
+// ApplyReport applies an owner's report on a replica.
+func (t *Table) ApplyReport(report *pb.ReplicaNews, now time.Time) {
+	r := t.replica(report.GetReplica())
+	r.otherInFlight = max(int(report.GetInFlight())-r.inFlight, 0)
+	r.limit = int(report.GetLimit())
+	r.reportedAt = now
+	if report.GetState() != pb.ReplicaState_REPLICA_STATE_UNSPECIFIED {
+		t.setState(r, report.GetState())
 	}
 }
 
-// become applies a reported state. What was seen of a replica that was cold, lost
-// or draining says nothing about it once it is warm: its cold latency would make
-// it a straggler and its refusals keep it out, both for seconds after its owner
-// gave it its full share.
-func (t *Table) become(r *replica, state pb.ReplicaState) {
-	if state == pb.ReplicaState_REPLICA_STATE_WARM && r.avoided() {
+// setState applies a reported state. A replica that becomes warm starts with an empty
+// history. Otherwise its latency while cold would make it a straggler, and earlier
+// refusals would keep it paused, for seconds after its owner admits the full load.
+func (t *Table) setState(r *replica, state pb.ReplicaState) {
+	if state == pb.ReplicaState_REPLICA_STATE_WARM && r.restricted() {
 		r.latency = 0
-		r.answered = time.Time{}
+		r.updatedAt = time.Time{}
 		r.failures = 0
 		r.pausedUntil = time.Time{}
 	}
@@ -148,7 +150,7 @@
 	r.state = state
 }
 
-// Latency returns a replica's recent latency, 0 when unknown.
+// Latency returns a replica's recent latency, or 0 if there is none.
 func (t *Table) Latency(name string) time.Duration {
 	if r := t.replicas[name]; r != nil {
 		return time.Duration(r.latency)
@@ -164,18 +166,18 @@
 	return pb.ReplicaState_REPLICA_STATE_UNSPECIFIED
 }
 
-// Prune forgets the replicas that the index does not name.
+// Prune removes the replicas that are not in the index.
 func (t *Table) Prune(index *config.Index) {
 	for name, r := range t.replicas {
 		if index.Replicas[name] != nil {
 			continue
 		}
-		t.become(r, pb.ReplicaState_REPLICA_STATE_UNSPECIFIED)
+		t.setState(r, pb.ReplicaState_REPLICA_STATE_UNSPECIFIED)
 		delete(t.replicas, name)
 	}
 }
 
-func (t *Table) of(name string) *replica {
+func (t *Table) replica(name string) *replica {
 	r := t.replicas[name]
 	if r == nil {
 		r = &replica{}
@@ -184,19 +186,19 @@
 	return r
 }
 
-// observe weighs an answer by the time since the one before: of a replica that
-// is rarely chosen few answers come, and each must tell more.
+// observe weights a sample by the time since the previous one. A rarely chosen
+// replica has few samples, so each of them needs a greater weight.
 func (r *replica) observe(now time.Time, latency time.Duration) {
 	sample := float64(latency)
 	if r.latency == 0 {
 		r.latency = sample
-		r.answered = now
+		r.updatedAt = now
 		return
 	}
-	idle := now.Sub(r.answered)
+	idle := now.Sub(r.updatedAt)
 	weight := max(latencyWeight, float64(idle)/float64(idle+staleAfter))
-	r.latency += weight * (min(sample, outlier*r.latency) - r.latency)
-	r.answered = now
+	r.latency += weight * (min(sample, outlierFactor*r.latency) - r.latency)
+	r.updatedAt = now
 }
 
 func (r *replica) pause(now time.Time, first time.Duration) {
@@ -205,25 +207,26 @@
 	r.pausedUntil = now.Add(pause)
 }
 
-// bears reports whether the replica may get extra subrequests now: it is neither
-// cold, draining, lost, refusing nor at its limit.
-func (r *replica) bears(now time.Time) bool {
+// acceptsExtra reports whether the replica may receive hedges now: it is not cold,
+// draining, lost, paused or at its limit.
+func (r *replica) acceptsExtra(now time.Time) bool {
 	full := r.limit > 0 && r.load(now) >= r.limit
-	return !full && !r.avoided() && !now.Before(r.pausedUntil)
+	return !full && !r.restricted() && !now.Before(r.pausedUntil)
 }
 
-// load is the requests in flight, as far as known. What an owner reported holds
-// for about as long as those requests take; kept longer, a replica that was busy
-// at the last news would count as full until somebody chose it all the same.
+// load returns the number of requests in flight. An owner's report is used only for
+// about the duration of one request. If it were used longer, a replica that was busy
+// at the last report would count as full until another request is sent to it.
 func (r *replica) load(now time.Time) int {
-	if now.Sub(r.newsAt) > time.Duration(r.latency) {
+	if now.Sub(r.reportedAt) > time.Duration(r.latency) {
 		return r.inFlight
 	}
-	return r.inFlight + r.elsewhere
+	return r.inFlight + r.otherInFlight
 }
 
-// avoided reports whether the replica gets less than an ordinary share.
-func (r *replica) avoided() bool {
+// restricted reports whether the replica's state limits it to a small share of
+// requests.
+func (r *replica) restricted() bool {
 	switch r.state {
 	case pb.ReplicaState_REPLICA_STATE_COLD,
 		pb.ReplicaState_REPLICA_STATE_DRAINING,
