--- a/policy/snapshot/snapshot.go
+++ b/policy/snapshot/snapshot.go
@@ -1,7 +1,7 @@
-// Package snapshot knows which index snapshots the replicas of a service hold
-// and chooses the one that a query is pinned to. Knowledge comes from replies
-// and lags, so it decides where to ask, never what may be merged: that is
-// decided by what a reply names.
+// Package snapshot tracks which index snapshots the replicas of a service hold, and
+// chooses the snapshot that a query is pinned to. The data comes from replies and may
+// be stale. It decides where subrequests are sent, but not which replies may be
+// merged: that depends on the snapshot named in each reply.
 package snapshot
 
 import (
@@ -11,38 +11,38 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
-// chooseInterval bounds how often the choice is worked out again while nothing
-// new is learned; usability of replicas may change meanwhile.
+// chooseInterval bounds the age of a choice while no reports change. The usability of
+// replicas may change in the meantime.
 const chooseInterval = 50 * time.Millisecond
 
-// Range is the snapshots that a replica holds, both ends included.
+// Range is the snapshots that a replica holds, including both ends.
 type Range struct {
 	Oldest uint64
 	Newest uint64
 }
 
-// Contains tells whether the range holds a snapshot.
+// Contains reports whether the range includes the snapshot.
 func (r Range) Contains(snapshot uint64) bool {
 	return r.Oldest <= snapshot && snapshot <= r.Newest
 }
 
-// Holding is what is known of one replica and one snapshot.
+// Holding is the state of one snapshot at one replica.
 type Holding int
 
-// The states of knowledge, best first.
+// The values are ordered, best first.
 const (
-	// Holds means that the last news named the snapshot.
+	// Holds means that the last report included the snapshot.
 	Holds Holding = iota
-	// Unknown means that there was no news of the replica yet.
+	// Unknown means that the replica has not reported yet.
 	Unknown
-	// MayHold means that the snapshot is newer than the last news.
+	// MayHold means that the snapshot is newer than the last report.
 	MayHold
 	// Dropped means that the replica has only newer snapshots.
 	Dropped
 )
 
-// Table is the knowledge of one service at one node. Not safe for concurrent
-// use.
+// Table holds the reported snapshots of one service at one node. It is not safe for
+// concurrent use.
 type Table struct {
 	held     map[string]Range
 	revision uint64
@@ -53,13 +53,13 @@
 	chosenAt       time.Time
 }
 
-// NewTable returns a table that knows nothing.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{held: make(map[string]Range)}
 }
 
-// Update takes in what a replica said it holds. News without snapshots is
-// ignored.
+// Update stores the snapshots that a replica reported. It ignores a report without
+// snapshots.
 func (t *Table) Update(replica string, r Range) {
 	if r.Newest == 0 || t.held[replica] == r {
 		return
@@ -68,21 +68,21 @@
 	t.revision++
 }
 
-// Remove drops what is known of a replica, for example because it restarted.
+// Remove deletes the report of a replica, for example after a restart.
 func (t *Table) Remove(replica string) {
-	if _, known := t.held[replica]; !known {
+	if _, ok := t.held[replica]; !ok {
 		return
 	}
 	delete(t.held, replica)
 	t.revision++
 }
 
-// Holding tells what is known of a replica and a snapshot. Snapshot 0 stands
-// for any.
+// Holding returns the state of a snapshot at a replica. For snapshot 0, which means
+// any, it returns Unknown.
 func (t *Table) Holding(replica string, snapshot uint64) Holding {
-	r, known := t.held[replica]
+	r, ok := t.held[replica]
 	switch {
-	case snapshot == 0 || !known:
+	case snapshot == 0 || !ok:
 		return Unknown
 	case snapshot > r.Newest:
 		return MayHold
@@ -93,13 +93,13 @@
 	}
 }
 
-// Choose returns the newest snapshot that some usable replica of every shard
-// holds. When there is none it returns the snapshot that most shards can serve,
-// and 0 when nothing is known yet. Shards of which nothing is known, and shards
-// without a usable replica, do not stand in the way.
+// Choose returns the newest snapshot that a usable replica of every shard holds. If
+// there is none, it returns the snapshot that most shards can serve, or 0 without any
+// reports. Shards without a usable replica, and shards with a usable replica that has
+// not reported, count as able to serve every snapshot.
 func (t *Table) Choose(svc *config.Service, usable func(*config.Replica) bool, now time.Time) uint64 {
-	fresh := t.chosenFor == svc && t.chosenRevision == t.revision
-	if fresh && now.Sub(t.chosenAt) < chooseInterval {
+	unchanged := t.chosenFor == svc && t.chosenRevision == t.revision
+	if unchanged && now.Sub(t.chosenAt) < chooseInterval {
 		return t.chosen
 	}
 	t.chosen = t.choose(svc, usable)
@@ -129,29 +129,29 @@
 	return best
 }
 
-// candidates returns the distinct newest snapshots of a service's replicas, the
-// newest first.
+// candidates returns the distinct newest snapshots of the service's replicas, newest
+// first.
 func (t *Table) candidates(svc *config.Service) []uint64 {
-	seen := make(map[uint64]bool)
-	var list []uint64
+	added := make(map[uint64]bool)
+	var snapshots []uint64
 	for _, gen := range svc.Generations {
 		for _, shard := range gen.Shards {
 			for _, replica := range shard.Replicas {
 				newest := t.held[replica.Name].Newest
-				if newest == 0 || seen[newest] {
+				if newest == 0 || added[newest] {
 					continue
 				}
-				seen[newest] = true
-				list = append(list, newest)
+				added[newest] = true
+				snapshots = append(snapshots, newest)
 			}
 		}
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i] > list[j] })
-	return list
+	sort.Slice(snapshots, func(i, j int) bool { return snapshots[i] > snapshots[j] })
+	return snapshots
 }
 
-// missing counts the shards of a generation that are known to be unable to
-// serve a snapshot.
+// missing counts the shards of a generation whose usable replicas cannot serve a
+// snapshot.
 func (t *Table) missing(gen *config.Generation, snapshot uint64, usable func(*config.Replica) bool) int {
 	missing := 0
 	for _, shard := range gen.Shards {
@@ -163,7 +163,7 @@
 }
 
 func (t *Table) cannotServe(shard *config.Shard, snapshot uint64, usable func(*config.Replica) bool) bool {
-	known := false
+	reported := false
 	for _, replica := range shard.Replicas {
 		if !usable(replica) {
 			continue
@@ -172,7 +172,7 @@
 		if !ok || r.Contains(snapshot) {
 			return false
 		}
-		known = true
+		reported = true
 	}
-	return known
+	return reported
 }
