--- a/policy/bench/node.go
+++ b/policy/bench/node.go
@@ -240,7 +240,7 @@
 
 // surest is what must be known of a replica that is asked beside another.
 func (n *node) surest() snapshot.Holding {
-	if n.run.scenario.Flips.Every == 0 {
+	if n.run.scenario.Rollout.Every == 0 {
 		return snapshot.MayHold
 	}
 	return snapshot.Holds
@@ -265,9 +265,9 @@
 	if n.run.scenario.Policy == Baseline {
 		return hedge.Never
 	}
-	return hedge.After(hedge.Siblings{
+	return hedge.After(hedge.Progress{
 		Answered: answered, Total: total, Slowest: slowest,
-		Loaded: n.admission.Pressure() >= 1,
+		Overloaded: n.admission.Pressure() >= 1,
 	}, &n.subrequests)
 }
 
