--- a/policy/admission/rate.go
+++ b/policy/admission/rate.go
@@ -38,8 +38,8 @@
 	// servers. peakDecay is applied to the best rate in each window.
 	peakShare = 0.7
 	peakDecay = 0.97
-	// minRate is the lowest rate in queries per second. It lets a node detect that
-	// the service has recovered.
+	// minRate is in queries per second. It keeps some queries running, so that a node
+	// detects a recovery of the service.
 	minRate = 1
 	// maxFailureRatio is the share of failed queries above which a window is
 	// overloaded, if at least minFailures queries failed.
--- a/policy/dispatch/machine.go
+++ b/policy/dispatch/machine.go
@@ -17,14 +17,14 @@
 	// DefaultMaxResultBytes is the largest result that is stored in a claim.
 	DefaultMaxResultBytes = 64 << 10
 
-	// maxClaimRounds bounds the rounds of claiming before the first send. Each further
-	// round follows a race, a lost reply or a stale read. After maxClaimRounds rounds the
-	// platform is treated as unavailable.
+	// maxClaimRounds bounds the rounds of claiming before the first send. Each
+	// further round follows a race, a lost reply or a stale read. After the last
+	// round the platform is treated as unavailable.
 	maxClaimRounds = 4
 
 	// maxRounds bounds the rounds over a shard's replicas. firstRoundWait is the wait
-	// before the second round and doubles for each later one. The waits add up to 620
-	// ms, which is about the duration of a change of owners.
+	// before the second round and doubles for each later one. All waits together are
+	// 620 ms, about the duration of a change of owners.
 	maxRounds      = 6
 	firstRoundWait = 20 * time.Millisecond
 
@@ -66,8 +66,8 @@
 	phaseSending
 	// phaseCompleting writes the final claim.
 	phaseCompleting
-	// phaseResolving resolves an uncertain claim after the caller received the answer that
-	// nothing was sent.
+	// phaseResolving resolves an uncertain claim of a request that was never sent,
+	// after the caller has been answered.
 	phaseResolving
 	phaseDone
 )
@@ -87,8 +87,8 @@
 	triedRevision uint64
 	claimRounds   int
 
-	// tried holds the replicas that refused in this round, and reason is the reason
-	// of the last refusal.
+	// tried holds the replicas that refused in this round. reason is the reason of
+	// the last refusal or of the cancellation.
 	tried   []string
 	attempt int
 	round   int
@@ -208,9 +208,9 @@
 	return []Action{Send{Replica: e.Replica, Attempt: m.attempt}}
 }
 
-// nextRound tries every replica again after a wait if the reason is transient: owners
-// change while nodes are replaced, and replicas are cold for a new owner. A retry
-// under overload would add load, so the request ends instead.
+// nextRound tries every replica again after a wait if the reason is transient. Owners
+// change while nodes are replaced, and replicas are then cold for their new owner. A
+// retry under overload would add load, so the request ends instead.
 func (m *Machine) nextRound(now time.Time, reason pb.Reason) []Action {
 	wait := firstRoundWait << m.round
 	if !isTransient(reason) || m.round+1 == maxRounds || !now.Add(wait).Before(m.p.Deadline) {
--- a/policy/dispatch/simulation/environment.go
+++ b/policy/dispatch/simulation/environment.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// Submit starts a request whose deadline is the remaining time from now. An empty key
-// means that the request has no idempotency key.
+// Submit starts a request whose deadline expires after the remaining time. An empty
+// key means that the request has no idempotency key.
 func (w *Environment) Submit(key, digest string, remaining time.Duration) *Submission {
 	s := &Submission{ID: fmt.Sprintf("r%d", len(w.Submissions)), Key: key, Digest: digest}
 	s.Machine = dispatch.New(dispatch.Params{
