--- a/policy/gather/gather_test.go
+++ b/policy/gather/gather_test.go
@@ -23,12 +23,12 @@
 
 // startedQuery returns a query with one attempt sent for each shard, and answers to all but
 // the last pending ones.
-func startedQuery(p gather.Params, open int) *gather.Query {
+func startedQuery(p gather.Params, pending int) *gather.Query {
 	q := gather.New(p)
 	for i := range p.Shards {
 		q.Sent(i, 0)
 	}
-	for i := range p.Shards - open {
+	for i := range p.Shards - pending {
 		q.Answered(i)
 	}
 	return q
