--- a/policy/limit/batch.go
+++ b/policy/limit/batch.go
@@ -2,52 +2,54 @@
 
 import "time"
 
-// A call that carries several subrequests, a batch, takes one place: places are
-// calls, since a warm replica's share is one of connections. Two things differ
-// from a single call.
+// A batch is a call that carries several subrequests. It occupies one slot,
+// because the share of a warm replica is a number of connections. Two rules
+// differ from those of a single request.
 //
-// A replica that turns cold with a batch in flight works on each of its
-// subrequests. Counted as one, the batch would let a first owner send more on top
-// of what the replica does not bear already; so while the replica is not warm, a
-// batch counts as its subrequests.
+// A replica that turns cold works on each subrequest of a batch in flight. Counted
+// as one request, the batch would let the first-ranked owner send more to an
+// overloaded cold replica. So while the replica is not warm, a batch counts as
+// its subrequests.
 //
-// A batch ends with its slowest subrequest. Of 32 with 1% stragglers one in four
-// holds one; judged by its end, or overdue until then, a well replica would look
-// cold. So a batch is judged by the answer that completes its first half, which is
-// the median of its subrequests, and is not overdue after it.
+// A batch ends with its slowest subrequest. At 1% stragglers, one batch of 32 in
+// four contains a straggler. Measured by its end, a healthy replica would look
+// cold. So the latency of a batch is that of the answer that completes its first
+// half, the median of its subrequests. After that answer the batch is not overdue.
 
-// batches is what the limiter holds of batches in flight.
+// batches counts the batches in flight.
 type batches struct {
-	// extra is the subrequests beyond the first of each batch.
+	// extra is the number of subrequests beyond the first of each batch.
 	extra int
-	// answering batches are judged and still keep their place.
-	answering int
+	// measured is the number of batches whose median was observed and that still
+	// occupy their slot.
+	measured int
 }
 
-// SetBatchSize says that the request that TryAcquire let through last carries that many
-// subrequests. Its Release gives the same number as Sample.Items.
+// SetBatchSize states how many subrequests the request carries that TryAcquire
+// admitted last. Its Release repeats the number in Sample.Items.
 func (l *Limiter) SetBatchSize(items int) {
 	l.batches.extra += max(items-1, 0)
 }
 
-// ObserveMedian judges a batch by the answer that completes its first half. The place
-// stays taken until Release, whose sample says ObserveMedian.
+// ObserveMedian applies the answer that completes the first half of a batch. The
+// batch occupies its slot until Release, whose sample sets MedianObserved.
 func (l *Limiter) ObserveMedian(now time.Time, s Sample) {
 	l.inFlight.remove(now.Add(-s.Latency))
-	l.batches.answering++
-	l.judge(now, s)
+	l.batches.measured++
+	l.observeOutcome(now, s)
 }
 
-// releaseAnswered ends a batch that was judged before. What it gave up may still
-// run at the replica.
-func (l *Limiter) releaseAnswered(now time.Time, s Sample) {
-	l.batches.answering--
+// releaseMeasured ends a batch whose median was observed. The replica may still
+// work on subrequests that were cancelled or timed out.
+func (l *Limiter) releaseMeasured(now time.Time, s Sample) {
+	l.batches.measured--
 	if s.Result == ResultCancelled || s.Result == ResultTimeout {
-		l.holdCancelled(now, s)
+		l.holdSlots(now, s)
 	}
 }
 
-func (l *Limiter) holdCancelled(now time.Time, s Sample) {
+// holdSlots keeps the slots of a cancelled request occupied for the grace period.
+func (l *Limiter) holdSlots(now time.Time, s Sample) {
 	grace := l.params.CancelGrace
 	if l.params.Exclusive {
 		grace = l.params.ExclusiveGrace
--- a/policy/limit/batch_test.go
+++ b/policy/limit/batch_test.go
@@ -9,10 +9,9 @@
 )
 
 func TestBatchIsMeasuredByItsMedianSubrequest(t *testing.T) {
-	// One of 32 subrequests takes ten times as long. The batch is judged by its
-	// median, keeps its place until it ends, and is not overdue meanwhile: the other
-	// places stay in use and the replica stays warm. Judged by its end, three such
-	// batches in a row, which come every few seconds, would make it cold.
+	// Guards against a warm replica that counts as cold because one subrequest of a
+	// batch is slow. The batch occupies one slot until it ends, and the other slots
+	// stay in use.
 	o := newOwner(true)
 	o.warmUp(t)
 	for range 5 {
@@ -28,17 +27,17 @@
 }
 
 func TestBatchToAColdReplicaCountsEverySubrequest(t *testing.T) {
-	// The replica turns cold with a batch of 8 in flight and bears three requests.
-	// The first owner sends nothing, neither beside the batch nor, once the batch is
-	// given up, until the replica has had time to notice; then three.
+	// Guards against an overload of a replica that turns cold with a batch of 8 in
+	// flight. The first owner sends nothing during the batch and, after its
+	// cancellation, until the grace period has passed. Then it sends three requests.
 	o := &owner{now: start, Limiter: limit.New(limit.Params{MaxInFlight: 8, ColdInFlight: 3, First: true}, start)}
 	o.warmUp(t)
 	qt.Assert(t, o.TryAcquire(o.now), qt.Equals, acquired)
 	o.SetBatchSize(8)
 	o.Observe(o.now, limit.SignalColdReport)
-	qt.Assert(t, o.fill(), qt.Equals, 0)
+	qt.Assert(t, o.fillSlots(), qt.Equals, 0)
 	o.Release(o.now, limit.Sample{Latency: normal, PeerLatency: normal, Result: limit.ResultCancelled, Items: 8})
-	qt.Assert(t, o.fill(), qt.Equals, 0)
+	qt.Assert(t, o.fillSlots(), qt.Equals, 0)
 	o.now = o.now.Add(10 * normal)
-	qt.Assert(t, o.fill(), qt.Equals, 3)
+	qt.Assert(t, o.fillSlots(), qt.Equals, 3)
 }
--- a/policy/limit/doc.go
+++ b/policy/limit/doc.go
@@ -1,15 +1,17 @@
-// Package limit bounds the requests that one node, an owner, has in flight to
-// one replica.
+// Package limit implements an adaptive concurrency limit for the requests that
+// one owner, a node, has in flight to one replica.
 //
-// A limiter starts without knowing whether its replica is warm and treats it as
-// cold: the first-ranked owner alone may send, at most ColdInFlight requests at
-// once. The limit grows only on successes at normal latency. Any one sign of a
-// cold start drops it at once; a good report alone never raises it. Other
-// owners send nothing until the first one has found the replica warm.
+// A new limiter treats its replica as cold. Only the first-ranked owner sends to
+// a cold replica, and at most ColdInFlight requests at once. The limit grows only
+// on successes at normal latency. Any single signal of a cold start drops the
+// limit to its floor; a report of a warm replica never raises the limit of the
+// first-ranked owner. The other owners send nothing until the first-ranked owner
+// reports the replica warm.
 //
-// A warm replica's limit adapts to its latency below MaxInFlight. One that may
-// turn cold without any sign (Params.Exclusive) is never used by more than its
-// first owner, nor beyond what it bears when cold.
+// The limit of a warm replica adapts to its latency and stays at or below
+// MaxInFlight. A replica that may turn cold without any signal
+// (Params.Exclusive) receives requests from its first-ranked owner only, and
+// never more than ColdInFlight at once.
 //
 // Limiter is not safe for concurrent use.
 package limit
--- a/policy/limit/inflight.go
+++ b/policy/limit/inflight.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// inFlight holds when each request in flight started. It is small: at most a
-// replica's slots and queue.
+// inFlight holds the start time of each request in flight. Linear searches are
+// cheap, because a replica has few slots.
 type inFlight struct {
-	// started in rising order.
+	// started is in ascending order.
 	started []time.Time
-	// held are places of cancelled requests, by the time they become free.
+	// held lists when each slot held by a cancelled request becomes free.
 	held []time.Time
 }
 
@@ -15,7 +15,7 @@
 	f.started = append(f.started, now)
 }
 
-// remove takes out the request that started closest to the given time.
+// remove deletes the request whose start is closest to the given time.
 func (f *inFlight) remove(started time.Time) {
 	if len(f.started) == 0 {
 		panic("limit: Release without TryAcquire")
@@ -34,7 +34,8 @@
 	f.held = append(f.held, until)
 }
 
-// heldAt returns the places that cancelled requests still keep.
+// heldAt drops expired entries and returns the number of slots still held by
+// cancelled requests.
 func (f *inFlight) heldAt(now time.Time) int {
 	kept := f.held[:0]
 	for _, until := range f.held {
--- a/policy/limit/latency.go
+++ b/policy/limit/latency.go
@@ -3,46 +3,48 @@
 import "time"
 
 const (
-	// normalFactor is how far over the reference a latency is still normal.
+	// normalFactor is the highest multiple of the reference latency that is normal.
 	normalFactor = 2
-	// farFactor is how far over the reference a latency is a sign.
-	farFactor = 4
-	// overdueFactor is how far over the reference a request in flight holds new
-	// ones back.
+	// slowLatencyFactor is the multiple of the reference latency above which an
+	// answer counts as slow.
+	slowLatencyFactor = 4
+	// overdueFactor is the multiple of the reference latency after which a request
+	// in flight reduces the limit for new ones.
 	overdueFactor = 3
-	// slowRunCold is the number of far latencies in a row that make a replica
-	// count as cold. Single ones are random stragglers: at 1% of requests, three
-	// in a row come once in a million.
-	slowRunCold = 3
-	// improving is the part of the best latency below which a new one says that
-	// the replica is still warming up.
-	improving = 0.7
-	// bestAging lets the best latency rise, a part each second, so that a replica
-	// that got slower for good does not count as cold for ever.
-	bestAging = 0.002
-	// siblingsWeight lets the siblings' latency fall slowly, because classes
-	// differ in cost.
-	siblingsWeight = 0.05
+	// coldSlowRun is the number of consecutive slow answers that indicate a cold
+	// start. Fewer may be random stragglers.
+	coldSlowRun = 3
+	// improvedRatio is the fraction of the provisional reference below which a new
+	// latency shows that the replica is still warming up.
+	improvedRatio = 0.7
+	// bestAgingPerSecond is the fraction by which the best latency rises each
+	// second. Without it, a replica that became permanently slower would count as
+	// cold forever.
+	bestAgingPerSecond = 0.002
+	// peerWeight is the weight of a new sample when the peers' latency falls. It is
+	// low because the classes of requests differ in cost.
+	peerWeight = 0.05
 )
 
-// latency judges answers against the replica's siblings and its own best.
+// latency compares answers with the latency of the replica's peers, the other
+// replicas of its shard, and with the replica's own best latency.
 type latency struct {
-	// best is the replica's own best latency, kept over restarts.
-	best time.Duration
-	at   time.Time
-	// siblings is the highest recent latency of the siblings.
-	siblings time.Duration
-	slowRun  int
-	// trial is an early latency since the last sign, used as a reference while
-	// there is no other.
-	trial time.Duration
+	// best is the replica's own best latency. A restart of the replica keeps it.
+	best   time.Duration
+	agedAt time.Time
+	// peers is a decaying maximum of the peers' latency.
+	peers   time.Duration
+	slowRun int
+	// provisional is an early latency since the last signal, used as the reference
+	// while there is no other.
+	provisional time.Duration
 }
 
 // observe adds an answer and reports whether its latency was normal.
 func (l *latency) observe(now time.Time, s Sample) bool {
 	l.age(now)
-	l.hearSiblings(s.PeerLatency)
-	if l.slow(s) {
+	l.observePeers(s.PeerLatency)
+	if l.countSlow(s) {
 		return false
 	}
 	reference := l.reference(s)
@@ -58,13 +60,13 @@
 	return true
 }
 
-// slow reports whether the latency is far from the reference, a sign of a cold
-// start, and counts how many in a row were. A request that was given up would
-// have taken longer: at the latency where hedges win, waiting for a far one would
-// hide a cold replica behind its hedges for ever.
-func (l *latency) slow(s Sample) bool {
+// countSlow reports whether the latency is slow, and counts consecutive slow
+// answers. The latency of an abandoned request is a lower bound, so a lower factor
+// applies. With the higher one, hedges would end each request before it counts as
+// slow and would hide a cold replica.
+func (l *latency) countSlow(s Sample) bool {
 	reference := l.reference(s)
-	factor := time.Duration(farFactor)
+	factor := time.Duration(slowLatencyFactor)
 	if s.Result != ResultOK {
 		factor = normalFactor
 	}
@@ -78,62 +80,63 @@
 	return true
 }
 
-// overdue is the time after which a request in flight is late for any class, 0
-// when nothing is known.
+// overdue returns the age at which a request in flight is late for any class, or 0
+// without a reference.
 func (l *latency) overdue() time.Duration {
-	return overdueFactor * max(l.siblings, l.best)
+	return overdueFactor * max(l.peers, l.best)
 }
 
-// reference is the more lenient of the siblings' typical latency and the
-// replica's own best. Queries that are slow everywhere do not count against one
-// replica; a replica in a distant data centre is compared with itself.
+// reference returns the higher of the peers' typical latency and the replica's own
+// best. The peers' latency covers queries that are slow at every replica. The own
+// best covers a replica in a distant data centre.
 func (l *latency) reference(s Sample) time.Duration {
 	return max(s.PeerLatency, l.best)
 }
 
-// steady judges without a reference: a replica that still gets faster is still
-// warming up. The trial stays where it is until it is clearly beaten, so that
-// many small steps count as well as a large one.
+// steady reports whether a latency without a reference is normal. A replica whose
+// latency still improves is still warming up. The provisional reference changes
+// only on a clear improvement, so that many small improvements count like a large
+// one.
 func (l *latency) steady(d time.Duration) bool {
-	if l.trial == 0 || d < time.Duration(improving*float64(l.trial)) {
-		l.trial = d
+	if l.provisional == 0 || d < time.Duration(improvedRatio*float64(l.provisional)) {
+		l.provisional = d
 		return false
 	}
-	return d <= normalFactor*l.trial
+	return d <= normalFactor*l.provisional
 }
 
-// adoptTrial makes the trial the replica's own best when there was none.
-func (l *latency) adoptTrial() {
+// adoptProvisional makes the provisional reference the replica's own best if there
+// is none.
+func (l *latency) adoptProvisional() {
 	if l.best == 0 {
-		l.best = l.trial
+		l.best = l.provisional
 	}
 }
 
 func (l *latency) age(now time.Time) {
-	if !l.at.IsZero() {
-		l.best += time.Duration(bestAging * now.Sub(l.at).Seconds() * float64(l.best))
+	if !l.agedAt.IsZero() {
+		l.best += time.Duration(bestAgingPerSecond * now.Sub(l.agedAt).Seconds() * float64(l.best))
 	}
-	l.at = now
+	l.agedAt = now
 }
 
-func (l *latency) hearSiblings(d time.Duration) {
+func (l *latency) observePeers(d time.Duration) {
 	switch {
 	case d == 0:
-	case d > l.siblings:
-		l.siblings = d
+	case d > l.peers:
+		l.peers = d
 	default:
-		l.siblings -= time.Duration(siblingsWeight * float64(l.siblings-d))
+		l.peers -= time.Duration(peerWeight * float64(l.peers-d))
 	}
 }
 
-// comparable reports whether there is a reference to judge an answer by.
-func (l *latency) comparable(s Sample) bool {
+func (l *latency) hasReference(s Sample) bool {
 	return l.reference(s) > 0
 }
 
-// restart begins a new judgement after a sign; the best latency stays, because
-// it is what a warm replica must reach again.
-func (l *latency) restart() {
+// reset discards the observations before a signal of a cold start. The best latency
+// stays, because a warm replica must reach it again.
+func (l *latency) reset() {
 	l.slowRun = 0
-	l.trial = 0
+	l.provisional = 0
 }
--- a/policy/limit/limit.go
+++ b/policy/limit/limit.go
@@ -8,54 +8,57 @@
 
 // Params describe a replica and this node's share of it.
 type Params struct {
-	// MaxInFlight is this owner's share of the requests that the replica runs
-	// at once when warm.
+	// MaxInFlight is this owner's share of the requests that a warm replica runs
+	// concurrently.
 	MaxInFlight int
-	// ColdInFlight is what the replica bears when cold, from all nodes together.
+	// ColdInFlight is the number of concurrent requests that a cold replica can
+	// serve, over all nodes.
 	ColdInFlight int
 	// First is true when this node is the replica's first-ranked owner and the
 	// earlier one has left or is confirmed gone.
 	First bool
-	// TakeoverDelay is how long a new first owner sends nothing to a replica that it alone
-	// may use: what the earlier owner had in flight must end first, by its deadline
-	// and the time that a cancellation takes. 0 when there was no earlier owner.
+	// TakeoverDelay is how long a new first owner sends nothing to a replica that
+	// only the first owner may use. Within this time the requests of the earlier
+	// owner must end: their deadline plus the time that a cancellation takes. 0 if
+	// there was no earlier owner.
 	TakeoverDelay time.Duration
-	// CancelGrace is how long a cancelled request keeps its place while the
-	// replica is not warm: the replica may still be working on it.
+	// CancelGrace is how long a cancelled request occupies its slot while the
+	// replica is not warm, because the replica may still work on it.
 	CancelGrace time.Duration
-	// HoldDown is how long after a sign of a cold start ObserveWarm is not believed.
-	// It exceeds the time that news takes between owners, so that news sent
+	// HoldDown is how long ObserveWarm is ignored after a signal of a cold start. It
+	// must exceed the time that a report takes between owners, so that a report sent
 	// before the replica turned cold has no effect.
 	HoldDown time.Duration
-	// Exclusive is true for a replica that may turn cold with its connections
-	// open and nothing telling. At that moment what is in flight is already too
-	// much if it is more than ColdInFlight, so no judgement of its answers can
-	// come in time: the first-ranked owner alone sends, never more than
-	// ColdInFlight at once, warm or not.
+	// Exclusive is true for a replica that may turn cold with open connections and
+	// without any signal. More than ColdInFlight requests in flight at that moment
+	// overload it before any answer can show the cold start. So only the
+	// first-ranked owner sends, and never more than ColdInFlight at once, warm or
+	// not.
 	Exclusive bool
-	// ExclusiveGrace replaces CancelGrace while Exclusive is true. Only a deadline
-	// or a silent connection ends a request early there, and a replica that has not
-	// heard of it may work on for long. 0 takes CancelGrace.
+	// ExclusiveGrace replaces CancelGrace while Exclusive is true. There, requests
+	// end early only on a deadline or a silent connection, and a replica that has
+	// not received the cancellation may work on for long. 0 means CancelGrace.
 	ExclusiveGrace time.Duration
 }
 
 const (
 	defaultCancelGrace = 50 * time.Millisecond
 	defaultHoldDown    = time.Second
-	// waitingPerPlace bounds the requests that wait for each place. A longer queue
-	// only ages requests past their deadline.
-	waitingPerPlace = 2
-	// waitingAlone replaces it at a replica with one owner and few places: there is
-	// no other owner's queue, and the same number of places serves all callers.
-	waitingAlone = 6
+	// queuedPerSlot bounds the requests queued per slot. In a longer queue, requests
+	// exceed their deadline.
+	queuedPerSlot = 2
+	// queuedPerSlotExclusive replaces queuedPerSlot for an exclusive replica. There
+	// is no other owner's queue, and its few slots serve all callers.
+	queuedPerSlotExclusive = 6
 )
 
 type phase int
 
 const (
-	// unknown: nothing says whether the replica is cold; used as if it were.
+	// unknown: no signal of a cold start was seen, nor enough successes. Treated
+	// like cold.
 	unknown phase = iota
-	// cold: a sign of a cold start was seen.
+	// cold: a signal of a cold start was seen.
 	cold
 	// ramping: latency is normal, the limit grows.
 	ramping
@@ -65,39 +68,39 @@
 // Limiter bounds one owner's requests in flight to one replica.
 type Limiter struct {
 	params Params
-	// share and coldInFlight are MaxInFlight and ColdInFlight as stated, before
-	// they are bounded.
+	// share and coldInFlight are the configured MaxInFlight and ColdInFlight, before
+	// applyBounds.
 	share        int
 	coldInFlight int
 	phase        phase
 	limit        float64
-	lastSign     Signal
-	// signSeen is true from a sign of a cold start until the replica is warm.
-	signSeen bool
-	// draining: the replica takes no new work until it says otherwise.
+	lastSignal   Signal
+	// coldSignalled is true from a signal of a cold start until the replica is warm.
+	coldSignalled bool
+	// draining is true while the replica accepts no new requests.
 	draining bool
-	// lost counts refused or reset connections since the last answer, and
-	// pausedUntil is when the next attempt may follow them.
-	lost        int
-	pausedUntil time.Time
-	// coldReports counts reports of a cold start in a row, the first of which came
-	// at coldSince.
+	// failedConnections counts refused or reset connections since the last answer.
+	// The next attempt may follow at backoffUntil.
+	failedConnections int
+	backoffUntil      time.Time
+	// coldReports counts consecutive reports of a cold start, the first of which
+	// arrived at coldSince.
 	coldReports int
 	coldSince   time.Time
-	// restUntil is the end of Params.TakeoverDelay.
-	restUntil time.Time
-	// distrustUntil is when ObserveWarm is believed again.
-	distrustUntil time.Time
-	inFlight      inFlight
-	batches       batches
-	latency       latency
-	// run counts successes at normal latency since the limit last changed.
-	run int
-	// decreased is when a warm limit last fell.
-	decreased time.Time
+	// takeoverUntil is the end of Params.TakeoverDelay.
+	takeoverUntil time.Time
+	// ignoreWarmUntil is the end of Params.HoldDown.
+	ignoreWarmUntil time.Time
+	inFlight        inFlight
+	batches         batches
+	latency         latency
+	// normalRun counts consecutive successes at normal latency.
+	normalRun int
+	// decreasedAt is when the limit of a warm replica was last decreased.
+	decreasedAt time.Time
 }
 
-// New returns the limiter of a replica about which nothing is known.
+// New returns the limiter of a replica whose state is unknown.
 func New(p Params, now time.Time) *Limiter {
 	if p.CancelGrace <= 0 {
 		p.CancelGrace = defaultCancelGrace
@@ -109,36 +112,36 @@
 		p.HoldDown = defaultHoldDown
 	}
 	l := &Limiter{
-		params:       p,
-		share:        p.MaxInFlight,
-		coldInFlight: p.ColdInFlight,
-		restUntil:    now.Add(p.TakeoverDelay),
+		params:        p,
+		share:         p.MaxInFlight,
+		coldInFlight:  p.ColdInFlight,
+		takeoverUntil: now.Add(p.TakeoverDelay),
 	}
-	l.bound()
+	l.applyBounds()
 	l.limit = l.floor()
 	return l
 }
 
-// TryAcquire takes a place for one request. It returns REASON_UNSPECIFIED when
-// the request may be sent, and Release must follow; otherwise it returns
-// REASON_LIMIT, REASON_COLD or REASON_LEAVING and nothing must be sent.
+// TryAcquire acquires a slot for one request. It returns REASON_UNSPECIFIED when
+// the request may be sent; Release must follow. Otherwise it returns REASON_LIMIT,
+// REASON_COLD or REASON_LEAVING, and the request must not be sent.
 func (l *Limiter) TryAcquire(now time.Time) pb.Reason {
 	switch {
 	case l.draining:
 		return pb.Reason_REASON_LEAVING
 	case l.FirstOwnerOnly() && !l.mayUseCold(now):
 		return pb.Reason_REASON_COLD
-	case l.places(now) >= l.allowed(now):
+	case l.occupied(now) >= l.effectiveLimit(now):
 		return pb.Reason_REASON_LIMIT
 	}
 	l.inFlight.add(now)
 	return pb.Reason_REASON_UNSPECIFIED
 }
 
-// SetShare applies a change of ownership. Requests in flight go on. A node that
-// is no longer first sends nothing new to a replica that is not warm; one that
-// becomes first rests before it uses such a replica. Without a change nothing
-// happens, so that owners may state the share as often as they like.
+// SetShare applies a change of ownership. Requests in flight continue. A node that
+// is no longer first sends nothing new to a replica that is not warm. A node that
+// becomes first waits for TakeoverDelay before it uses such a replica. A call
+// without a change has no effect.
 func (l *Limiter) SetShare(now time.Time, maxInFlight int, first bool) {
 	if maxInFlight == l.share && first == l.params.First {
 		return
@@ -146,68 +149,68 @@
 	l.share = maxInFlight
 	became := first && !l.params.First
 	l.params.First = first
-	l.bound()
+	l.applyBounds()
 	if became && l.FirstOwnerOnly() {
-		l.restUntil = later(l.restUntil, now.Add(l.params.TakeoverDelay))
+		l.takeoverUntil = later(l.takeoverUntil, now.Add(l.params.TakeoverDelay))
 	}
 	if l.phase == warm {
 		l.limit = min(l.limit, float64(l.params.MaxInFlight))
 		return
 	}
 	l.limit = l.floor()
-	l.run = 0
+	l.normalRun = 0
 	if !first && l.phase == ramping {
 		l.phase = unknown
 	}
 }
 
-// SetCold applies a change of what the replica bears when cold and of
-// Params.Exclusive. Requests in flight go on. Without a change nothing happens.
+// SetCold applies a change of ColdInFlight and Exclusive. Requests in flight
+// continue. A call without a change has no effect.
 func (l *Limiter) SetCold(coldInFlight int, exclusive bool) {
 	if coldInFlight == l.coldInFlight && exclusive == l.params.Exclusive {
 		return
 	}
 	l.coldInFlight = coldInFlight
 	l.params.Exclusive = exclusive
-	l.bound()
+	l.applyBounds()
 	l.limit = min(l.limit, float64(l.params.MaxInFlight))
 	if l.phase != warm {
 		l.limit = l.floor()
-		l.run = 0
+		l.normalRun = 0
 	}
 }
 
-// ObserveWarm says that the replica's first owner found it warm. Another owner starts
-// with one request in flight and grows on its own successes. A first owner
-// relies on its own successes only.
+// ObserveWarm applies a report of the replica's first owner that the replica is
+// warm. Another owner starts with one request in flight, and its limit grows on its
+// own successes. A first owner ignores the report and relies on its own successes.
 func (l *Limiter) ObserveWarm(now time.Time) {
-	if l.params.First || l.phase == warm || now.Before(l.distrustUntil) {
+	if l.params.First || l.phase == warm || now.Before(l.ignoreWarmUntil) {
 		return
 	}
 	l.becomeWarm()
-	// The first owner reaches the replica, so this one must not call it lost.
-	l.lost = 0
+	// The first owner can reach the replica, so this owner must not report it lost.
+	l.failedConnections = 0
 	l.limit = 1
-	l.run = 0
+	l.normalRun = 0
 }
 
 func (l *Limiter) becomeWarm() {
 	l.phase = warm
-	l.signSeen = false
+	l.coldSignalled = false
 }
 
-// State returns what this owner tells others. It is UNSPECIFIED while the owner
-// has seen neither a sign of a cold start nor enough successes, which must not
-// make other owners drop a limit they have earned.
+// State returns the state that this owner reports to the others. It is UNSPECIFIED
+// while the owner has seen neither a signal of a cold start nor enough successes.
+// Reported as COLD, such a replica would lose its limit at the other owners.
 func (l *Limiter) State() pb.ReplicaState {
 	switch {
 	case l.draining:
 		return pb.ReplicaState_REPLICA_STATE_DRAINING
-	case l.lost >= lostAfter:
+	case l.failedConnections >= lostAfter:
 		return pb.ReplicaState_REPLICA_STATE_LOST
 	case l.phase == warm:
 		return pb.ReplicaState_REPLICA_STATE_WARM
-	case l.signSeen:
+	case l.coldSignalled:
 		return pb.ReplicaState_REPLICA_STATE_COLD
 	default:
 		return pb.ReplicaState_REPLICA_STATE_UNSPECIFIED
@@ -215,30 +218,30 @@
 }
 
 // MayQueue reports whether a request that TryAcquire refused with REASON_LIMIT may
-// wait at the owner behind that many others. Waiting is for a warm replica at its
-// full pace: at any other, the shard's next replica answers sooner.
-func (l *Limiter) MayQueue(now time.Time, waiting int) bool {
+// join the owner's queue of that length. Only a warm replica without slow or
+// overdue requests has a queue: otherwise the shard's next replica answers sooner.
+func (l *Limiter) MayQueue(now time.Time, queued int) bool {
 	if l.params.Exclusive {
-		fullPace := l.params.First && l.phase == warm && !l.overdue(now) && l.latency.slowRun == 0
-		return fullPace && waiting < waitingAlone*int(l.limit)
+		undisturbed := l.params.First && l.phase == warm && !l.overdue(now) && l.latency.slowRun == 0
+		return undisturbed && queued < queuedPerSlotExclusive*int(l.limit)
 	}
-	return l.phase == warm && l.allowed(now) == int(l.limit) && waiting < waitingPerPlace*int(l.limit)
+	return l.phase == warm && l.effectiveLimit(now) == int(l.limit) && queued < queuedPerSlot*int(l.limit)
 }
 
-// RunToCompletion reports whether a request that nobody waits for any more should run
-// to its end at the replica. A replica that is not warm needs it to warm up, its
-// latency shows how far it is, and its place is free only when it has ended. With
-// cancellation, hedges would win every race and the replica would stay cold. One
-// with silent cold starts needs it always: which state a cancelled request is in
-// when one begins, nobody knows.
+// RunToCompletion reports whether a request whose caller no longer waits should run
+// to its end instead of being cancelled. A replica that is not warm needs the
+// request to warm up, and its latency shows the progress. With cancellation, hedges
+// would win every race and the replica would stay cold. An exclusive replica always
+// needs this, because the state of a cancelled request is unknown when a cold start
+// begins.
 func (l *Limiter) RunToCompletion() bool {
 	return l.FirstOwnerOnly()
 }
 
-// InFlight returns the requests in flight, a batch as one, without cancelled ones
-// that still keep a place.
+// InFlight returns the number of requests in flight. A batch counts as one, and
+// cancelled requests that still occupy a slot are not counted.
 func (l *Limiter) InFlight() int {
-	return len(l.inFlight.started) + l.batches.answering
+	return len(l.inFlight.started) + l.batches.measured
 }
 
 // Limit returns how many requests may be in flight now.
@@ -249,37 +252,36 @@
 	return int(l.limit)
 }
 
-// Draining reports whether the replica takes no new work.
+// Draining reports whether the replica accepts no new requests.
 func (l *Limiter) Draining() bool {
 	return l.draining
 }
 
-// FirstOwnerOnly reports whether the replica must be used as a cold one is: by its
-// first owner alone, with each request counted until the replica is rid of it.
+// FirstOwnerOnly reports whether only the first owner may use the replica. A
+// cancelled request then counts until its grace period has passed.
 func (l *Limiter) FirstOwnerOnly() bool {
 	return l.params.Exclusive || l.phase != warm
 }
 
 func (l *Limiter) mayUseCold(now time.Time) bool {
-	return l.params.First && !now.Before(l.restUntil) && !now.Before(l.pausedUntil)
+	return l.params.First && !now.Before(l.takeoverUntil) && !now.Before(l.backoffUntil)
 }
 
-// places returns the places taken. Unless the replica is known to bear them,
-// cancelled requests count, and each subrequest of a batch.
-func (l *Limiter) places(now time.Time) int {
-	taken := l.InFlight()
+// occupied returns the number of occupied slots. At a replica for the first owner
+// only, cancelled requests and each subrequest of a batch count as well.
+func (l *Limiter) occupied(now time.Time) int {
+	n := l.InFlight()
 	if l.FirstOwnerOnly() {
-		taken += l.inFlight.heldAt(now) + l.batches.extra
+		n += l.inFlight.heldAt(now) + l.batches.extra
 	}
-	return taken
+	return n
 }
 
-// allowed is the limit, or less while there is a suspicion that the replica has
-// turned cold without closing its connections. Its owners would otherwise fill
-// their whole share before enough slow answers have come. An overdue request
-// holds new ones back; after a slow answer one at a time may show whether the
-// next is normal.
-func (l *Limiter) allowed(now time.Time) int {
+// effectiveLimit is the limit, reduced while the replica may have turned cold with
+// open connections. Without the reduction, its owners would fill their whole share
+// before enough slow answers arrive. An overdue request reduces the limit to the
+// floor. A slow answer reduces it to one request until an answer is normal.
+func (l *Limiter) effectiveLimit(now time.Time) int {
 	limit := int(l.limit)
 	if l.overdue(now) {
 		return min(limit, int(l.floor()))
@@ -290,14 +292,14 @@
 	return limit
 }
 
-// overdue reports whether a request in flight is late for any class.
+// overdue reports whether the oldest request in flight is late for any class.
 func (l *Limiter) overdue(now time.Time) bool {
 	after := l.latency.overdue()
 	oldest, ok := l.inFlight.oldest()
 	return ok && after > 0 && now.Sub(oldest) > after
 }
 
-// floor is what a cold replica gets from this owner.
+// floor is this owner's limit for a cold replica.
 func (l *Limiter) floor() float64 {
 	if !l.params.First {
 		return 0
@@ -305,7 +307,8 @@
 	return float64(l.params.ColdInFlight)
 }
 
-func (l *Limiter) bound() {
+// applyBounds derives the limits in params from the configured values.
+func (l *Limiter) applyBounds() {
 	l.params.MaxInFlight = max(l.share, 1)
 	l.params.ColdInFlight = min(max(l.coldInFlight, 1), l.params.MaxInFlight)
 	if l.params.Exclusive {
--- a/policy/limit/limit_test.go
+++ b/policy/limit/limit_test.go
@@ -17,7 +17,7 @@
 
 var start = time.Unix(1000, 0)
 
-// owner drives one limiter by a clock of its own.
+// owner drives one limiter with its own clock.
 type owner struct {
 	*limit.Limiter
 	now time.Time
@@ -29,8 +29,8 @@
 	}, start)}
 }
 
-// fill acquires all places that are free and returns how many.
-func (o *owner) fill() int {
+// fillSlots acquires all free slots and returns how many it acquired.
+func (o *owner) fillSlots() int {
 	n := 0
 	for o.TryAcquire(o.now) == acquired {
 		n++
@@ -38,9 +38,9 @@
 	return n
 }
 
-// round fills the limit, lets the latency pass and ends all requests.
+// round fills the limit, advances the clock by the latency and ends all requests.
 func (o *owner) round(latency time.Duration, result limit.Result) int {
-	n := o.fill()
+	n := o.fillSlots()
 	o.now = o.now.Add(latency)
 	for range n {
 		o.Release(o.now, limit.Sample{Latency: latency, Result: result, PeerLatency: normal})
@@ -61,12 +61,12 @@
 	c := qt.New(t)
 	first, second := newOwner(true), newOwner(false)
 	c.Assert(second.TryAcquire(start), qt.Equals, pb.Reason_REASON_COLD)
-	c.Assert(first.fill(), qt.Equals, 1)
+	c.Assert(first.fillSlots(), qt.Equals, 1)
 	c.Assert(first.TryAcquire(start), qt.Equals, pb.Reason_REASON_LIMIT)
 	c.Assert(first.State(), qt.Equals, pb.ReplicaState_REPLICA_STATE_UNSPECIFIED)
 
 	second.ObserveWarm(start)
-	c.Assert(second.fill(), qt.Equals, 1)
+	c.Assert(second.fillSlots(), qt.Equals, 1)
 }
 
 func TestLimitGrowsOnNormalLatencyOnly(t *testing.T) {
@@ -86,20 +86,20 @@
 	c.Assert(o.State(), qt.Equals, pb.ReplicaState_REPLICA_STATE_WARM)
 }
 
-// A replica without siblings that still gets faster is still warming up, so
-// successes count only once its latency is steady.
+// Guards against a limit that grows while a replica without peers is still warming
+// up. Its falling latency shows that.
 func TestLimitGrowsWithoutPeersOnceLatencyIsSteady(t *testing.T) {
 	c := qt.New(t)
 	o := newOwner(true)
 	latency := 100 * normal
 	for range 60 {
-		c.Assert(o.fill(), qt.Equals, 1)
+		c.Assert(o.fillSlots(), qt.Equals, 1)
 		o.now = o.now.Add(latency)
 		o.Release(o.now, limit.Sample{Latency: latency})
 		latency = max(normal, latency*9/10)
 	}
 	for o.State() != pb.ReplicaState_REPLICA_STATE_WARM {
-		n := o.fill()
+		n := o.fillSlots()
 		o.now = o.now.Add(normal)
 		for range n {
 			o.Release(o.now, limit.Sample{Latency: normal})
@@ -109,11 +109,11 @@
 	c.Assert(took > 60*normal && took < 20*time.Second, qt.IsTrue, qt.Commentf("%v", took))
 }
 
-// The replica turns cold while two owners use it at their full share. Whatever
-// shows it first, the first owner goes down to one request and the other one to
-// none, and news of a warm replica from before has no effect.
+// Guards against an overload of a replica that turns cold while two owners use their
+// full share. After any signal, the first owner sends one request and the other one
+// none. An earlier report of a warm replica has no effect.
 func TestEachColdSignalDropsTheLimitAtOnce(t *testing.T) {
-	signs := map[string]func(*owner){
+	signals := map[string]func(*owner){
 		"refused":     func(o *owner) { o.Observe(o.now, limit.SignalRefused) },
 		"reset":       func(o *owner) { o.Observe(o.now, limit.SignalReset) },
 		"incarnation": func(o *owner) { o.Observe(o.now, limit.SignalIncarnation) },
@@ -131,7 +131,7 @@
 			o.Release(o.now, limit.Sample{PeerLatency: normal, ReportsCold: true})
 		},
 	}
-	for name, show := range signs {
+	for name, apply := range signals {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			first, second := newOwner(true), newOwner(false)
@@ -139,25 +139,24 @@
 			second.ObserveWarm(start)
 			second.warmUp(t)
 
-			show(first)
+			apply(first)
 			first.now = first.now.Add(60 * time.Millisecond)
-			c.Check(first.fill(), qt.Equals, 1)
+			c.Check(first.fillSlots(), qt.Equals, 1)
 			c.Check(first.State(), qt.Equals, pb.ReplicaState_REPLICA_STATE_COLD)
 
-			show(second)
+			apply(second)
 			second.now = second.now.Add(60 * time.Millisecond)
 			second.ObserveWarm(second.now)
-			c.Check(second.fill(), qt.Equals, 0)
+			c.Check(second.fillSlots(), qt.Equals, 0)
 			second.ObserveWarm(second.now.Add(time.Second))
-			c.Check(second.fill(), qt.Equals, 1)
+			c.Check(second.fillSlots(), qt.Equals, 1)
 		})
 	}
 }
 
-// A replica turns cold and keeps its connections: nothing tells its owners
-// until a request does not come back in time. From then on they must not fill
-// their share, although no answer has been slow yet. After a slow answer they
-// try one request; a normal answer gives the share back.
+// Guards against an overload of a replica that turns cold with open connections.
+// An overdue request blocks new ones before any slow answer has arrived. After a slow
+// answer the owner sends one request, and a normal answer restores the limit.
 func TestOverdueRequestBlocksNewOnes(t *testing.T) {
 	c := qt.New(t)
 	o := newOwner(true)
@@ -167,33 +166,33 @@
 	c.Assert(o.TryAcquire(o.now), qt.Equals, pb.Reason_REASON_LIMIT)
 	o.Release(o.now, limit.Sample{Latency: 5 * normal, PeerLatency: normal})
 	c.Assert(o.round(normal, limit.ResultOK), qt.Equals, 1)
-	c.Assert(o.fill() > 1, qt.IsTrue, qt.Commentf("one straggler is no cold start"))
+	c.Assert(o.fillSlots() > 1, qt.IsTrue, qt.Commentf("one straggler must not count as a cold start"))
 }
 
-// The loser of a hedge is cancelled at a cold replica, which works on it until
-// the cancellation arrives. The next request must not join it there.
+// Guards against a second request at a cold replica that still works on a cancelled
+// one.
 func TestCancelledRequestOccupiesItsSlotAtAColdReplica(t *testing.T) {
 	c := qt.New(t)
 	o := newOwner(true)
 	c.Assert(o.round(normal, limit.ResultCancelled), qt.Equals, 1)
-	c.Assert(o.fill(), qt.Equals, 0)
+	c.Assert(o.fillSlots(), qt.Equals, 0)
 	o.now = o.now.Add(50 * time.Millisecond)
-	c.Assert(o.fill(), qt.Equals, 1)
+	c.Assert(o.fillSlots(), qt.Equals, 1)
 }
 
-// Ownership moves while the replica is cold. The earlier owner sends nothing
-// new; the next one rests until what was in flight has ended.
+// Guards against an overload of a cold replica whose ownership changes. The previous
+// owner sends nothing new; the next one waits until the requests in flight have ended.
 func TestNewFirstOwnerWaitsForTakeoverDelay(t *testing.T) {
 	c := qt.New(t)
 	p := limit.Params{MaxInFlight: 8, ColdInFlight: 1, First: true, TakeoverDelay: time.Second}
-	earlier := limit.New(p, start)
-	c.Assert(earlier.TryAcquire(start), qt.Equals, pb.Reason_REASON_COLD)
+	previous := limit.New(p, start)
+	c.Assert(previous.TryAcquire(start), qt.Equals, pb.Reason_REASON_COLD)
 	now := start.Add(time.Second)
-	c.Assert(earlier.TryAcquire(now), qt.Equals, acquired)
-	earlier.SetShare(now, 8, false)
-	c.Assert(earlier.InFlight(), qt.Equals, 1)
-	earlier.Release(now, limit.Sample{Latency: 0})
-	c.Assert(earlier.TryAcquire(now), qt.Equals, pb.Reason_REASON_COLD)
+	c.Assert(previous.TryAcquire(now), qt.Equals, acquired)
+	previous.SetShare(now, 8, false)
+	c.Assert(previous.InFlight(), qt.Equals, 1)
+	previous.Release(now, limit.Sample{Latency: 0})
+	c.Assert(previous.TryAcquire(now), qt.Equals, pb.Reason_REASON_COLD)
 
 	p.First = false
 	next := limit.New(p, now)
@@ -210,14 +209,14 @@
 	c.Assert(o.TryAcquire(o.now), qt.Equals, pb.Reason_REASON_LEAVING)
 	c.Assert(o.State(), qt.Equals, pb.ReplicaState_REPLICA_STATE_DRAINING)
 	o.Observe(o.now, limit.SignalServing)
-	c.Assert(o.fill(), qt.Equals, 1)
+	c.Assert(o.fillSlots(), qt.Equals, 1)
 }
 
-// reportCold ends rounds at normal latency with reports of a cold start until the
-// time is up, and returns the most requests that were in flight.
+// reportCold runs rounds at normal latency whose answers report a cold start, for the
+// given time. It returns the highest number of requests in flight.
 func (o *owner) reportCold(d time.Duration) (peak int) {
 	for until := o.now.Add(d); o.now.Before(until); {
-		n := o.fill()
+		n := o.fillSlots()
 		peak = max(peak, n)
 		o.now = o.now.Add(normal)
 		for range n {
@@ -227,18 +226,18 @@
 	return peak
 }
 
-// A replica reports a cold start for ever while it answers at normal latency.
-// The report is stuck; the replica must reach its share all the same.
+// Guards against a limit that stays at the floor forever because a replica never
+// stops reporting a cold start, although it answers at normal latency.
 func TestStuckColdReportIsIgnoredAtNormalLatency(t *testing.T) {
 	o := newOwner(true)
 	o.reportCold(17 * time.Second)
 	qt.Assert(t, o.Limit(), qt.Equals, 8)
 }
 
-// A replica restarts each 5 s, is cold for that time and says so, and answers at
-// normal latency as long as it gets one request at a time; with two it falls over.
-// A hundred answers a second all report the cold start, and each of them is true:
-// neither their number nor those of earlier incarnations make them stale.
+// Guards against true reports of a cold start that count as stuck, because there are
+// many per second or because earlier incarnations sent reports too. The replica
+// restarts every 5 s, is cold all the time, and answers at normal latency only while it
+// receives one request at a time.
 func TestFrequentColdReportsAreAcceptedAfterEachRestart(t *testing.T) {
 	o := newOwner(true)
 	for range 6 {
@@ -262,8 +261,8 @@
 	c.Assert(o.State(), qt.Equals, pb.ReplicaState_REPLICA_STATE_LOST)
 }
 
-// A warm replica whose answers take three times as long has queued requests:
-// its limit falls without going back to the cold floor for good.
+// Guards against a warm replica that stays overloaded, or that counts as cold, when
+// queued requests triple its latency.
 func TestWarmLimitFollowsLatency(t *testing.T) {
 	c := qt.New(t)
 	o := newOwner(true)
@@ -279,9 +278,8 @@
 	c.Assert(o.Limit(), qt.Equals, 8)
 }
 
-// The caller waits in a queue for no reason: the owner states its unchanged share
-// with every request, and each statement threw the successes away that the limit
-// grows on, so a warm replica stayed at one request in flight for ever.
+// Guards against a limit that never grows because the owner sets its unchanged share
+// with every request.
 func TestUnchangedShareDoesNotResetGrowth(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -289,7 +287,7 @@
 	for range 200 {
 		l.SetShare(now, 10, true)
 		if l.TryAcquire(now) != pb.Reason_REASON_UNSPECIFIED {
-			t.Fatal("no place in the limit")
+			t.Fatal("TryAcquire refused a request below the limit")
 		}
 		now = now.Add(5 * time.Millisecond)
 		l.Release(now, limit.Sample{Latency: 5 * time.Millisecond})
--- a/policy/limit/model_test.go
+++ b/policy/limit/model_test.go
@@ -11,87 +11,89 @@
 	"github.com/carobmill/carobmill/policy/modeltest"
 )
 
-// TestMain fixes the seed of the runs in CI. Long runs with new seeds:
+// TestMain fixes the seed for runs in CI. A long run with a new seed:
 //
 //	go test ./policy/limit -run ModelOwners -rapid.seed=0 -rapid.checks=100000
 func TestMain(m *testing.M) { modeltest.Main(m, modeltest.Size{Checks: "3000", Steps: "120"}) }
 
 const (
-	modelOwners = 3
-	modelShare  = 4
-	modelBears  = 1
-	// coldRequests warm the server up; until then it takes coldFactor as long.
+	modelOwners       = 3
+	modelShare        = 4
+	modelColdInFlight = 1
+	// The server is cold for coldRequests requests, each of which takes coldFactor
+	// times as long.
 	coldRequests = 20
 	coldFactor   = 6
-	longest      = coldFactor * normal
-	// cancelDelay is how long the server works on after a cancellation.
+	coldLatency  = coldFactor * normal
+	// cancelDelay is how long the server continues to work on a cancelled request.
 	cancelDelay = 40 * time.Millisecond
-	// newsDelay bounds the age of news between owners.
-	newsDelay = 900 * time.Millisecond
+	// reportMaxAge bounds the age of a report between owners.
+	reportMaxAge = 900 * time.Millisecond
 )
 
-// tamper breaks the limiters or the rules for their use on purpose.
-type tamper struct {
-	believesOldNews, noRest, missesResets, ignoresLatency bool
-	cancelsCold, keepsAuthority, ignoresDraining          bool
-	revivesByNews                                         bool
-	// exclusive is no fault: the replica is stated to turn cold unseen.
-	exclusive, manyAtWarm bool
+// faults breaks the limiters or the rules for their use deliberately.
+type faults struct {
+	acceptsStaleReports, noTakeoverDelay, missesResets, ignoresLatency bool
+	cancelsColdRequests, keepsFirstRank, ignoresDraining               bool
+	staleReportEndsDrain                                               bool
+	// exclusive is not a fault: the server may turn cold without a signal, and
+	// Params.Exclusive is set unless sharedWhenWarm is.
+	exclusive, sharedWhenWarm bool
 }
 
-// flight is a request at the server.
+// flight is a request in flight at the server.
 type flight struct {
 	owner int
 	start time.Time
 	end   time.Time
 }
 
-// modelOwner is one owner and what it believes.
+// modelOwner is one owner with its view of the replica.
 type modelOwner struct {
 	*limit.Limiter
 	first    bool
 	draining bool
-	// unseen: the server restarted and this owner's connections are dead, but it
-	// has not noticed. What it sends does not arrive.
-	unseen bool
+	// resetUnseen is true while the server has restarted and this owner has not
+	// observed the reset of its connections. Its requests do not arrive.
+	resetUnseen bool
 }
 
-// news is on its way between owners.
-type news struct {
-	to    int
-	state pb.ReplicaState
-	late  time.Time
+// report is a message in transit between owners.
+type report struct {
+	to      int
+	state   pb.ReplicaState
+	expires time.Time
 }
 
-// model is several owners of one replica that hear of each other, of changes of
-// ownership and of the replica late. The oracle is the server's own count: while
-// cold, it never has more in flight than it bears.
+// model simulates several owners of one replica that receive reports, changes of
+// ownership and the replica's signals with delay. The invariant is checked at the
+// server: while cold, it never has more than modelColdInFlight requests in flight.
 type model struct {
-	tamper  tamper
+	faults  faults
 	now     time.Time
 	owners  []*modelOwner
 	first   int
 	cold    int
 	flights []flight
-	// ghosts are cancelled requests that the server still works on.
-	ghosts []time.Time
-	news   []news
+	// cancelled lists when the server stops working on each cancelled request.
+	cancelled []time.Time
+	reports   []report
 }
 
-func newModel(tm tamper) *model {
-	m := &model{tamper: tm, now: start, cold: coldRequests}
-	p := limit.Params{MaxInFlight: modelShare, ColdInFlight: modelBears, TakeoverDelay: longest, Exclusive: tm.exclusive && !tm.manyAtWarm}
-	if tm.exclusive {
-		// A request that timed out is worked on until its cancellation arrives.
+func newModel(f faults) *model {
+	m := &model{faults: f, now: start, cold: coldRequests}
+	p := limit.Params{MaxInFlight: modelShare, ColdInFlight: modelColdInFlight, TakeoverDelay: coldLatency, Exclusive: f.exclusive && !f.sharedWhenWarm}
+	if f.exclusive {
+		// The server works on a request that timed out until its cancellation arrives.
 		p.TakeoverDelay += cancelDelay
 	}
-	if tm.believesOldNews {
+	if f.acceptsStaleReports {
 		p.HoldDown = 1
 	}
-	if tm.noRest {
+	if f.noTakeoverDelay {
 		p.TakeoverDelay = 0
 	}
-	if tm.cancelsCold {
+	if f.cancelsColdRequests {
 		p.CancelGrace = 1
 	}
 	for i := range modelOwners {
@@ -101,10 +103,11 @@
 	return m
 }
 
-// atServer counts what the server works on.
-func (m *model) atServer() int {
+// inFlightAtServer counts the requests that the server works on, cancelled ones
+// included.
+func (m *model) inFlightAtServer() int {
 	n := len(m.flights)
-	for _, end := range m.ghosts {
+	for _, end := range m.cancelled {
 		if m.now.Before(end) {
 			n++
 		}
@@ -121,8 +124,8 @@
 	if o.TryAcquire(m.now) != acquired {
 		return
 	}
-	if o.unseen {
-		m.seeReset(i)
+	if o.resetUnseen {
+		m.observeReset(i)
 		o.Release(m.now, limit.Sample{Result: limit.ResultConnectionFailed})
 		return
 	}
@@ -130,34 +133,34 @@
 		t.Fatalf("a draining replica got a request")
 	}
 	if o.InFlight() > modelShare {
-		t.Fatalf("owner %d went beyond its share", i)
+		t.Fatalf("owner %d exceeded its share", i)
 	}
 	if !o.first && o.State() != pb.ReplicaState_REPLICA_STATE_WARM {
 		t.Fatalf("owner %d used a replica that is not warm", i)
 	}
 	took := normal
 	if m.cold > 0 {
-		took = longest
+		took = coldLatency
 	}
 	m.flights = append(m.flights, flight{owner: i, start: m.now, end: m.now.Add(took)})
-	if m.cold > 0 && m.atServer() > modelBears {
-		t.Fatalf("the cold server has %d requests in flight", m.atServer())
+	if m.cold > 0 && m.inFlightAtServer() > modelColdInFlight {
+		t.Fatalf("the cold server has %d requests in flight", m.inFlightAtServer())
 	}
 }
 
-// finish ends the request that is due first.
-func (m *model) finish(*rapid.T) {
+// finishNext ends the request with the earliest end.
+func (m *model) finishNext(*rapid.T) {
 	if len(m.flights) == 0 {
 		return
 	}
-	due := 0
+	next := 0
 	for i, f := range m.flights {
-		if f.end.Before(m.flights[due].end) {
-			due = i
+		if f.end.Before(m.flights[next].end) {
+			next = i
 		}
 	}
-	f := m.flights[due]
-	m.flights = append(m.flights[:due], m.flights[due+1:]...)
+	f := m.flights[next]
+	m.flights = append(m.flights[:next], m.flights[next+1:]...)
 	if m.now.Before(f.end) {
 		m.now = f.end
 	}
@@ -167,154 +170,155 @@
 
 func (m *model) release(f flight, result limit.Result) {
 	s := limit.Sample{Latency: m.now.Sub(f.start), Result: result, PeerLatency: normal}
-	if m.tamper.ignoresLatency {
+	if m.faults.ignoresLatency {
 		s.PeerLatency = time.Second
 	}
 	m.owners[f.owner].Release(m.now, s)
 }
 
-// giveUp lets a query lose interest in a request.
-func (m *model) giveUp(t *rapid.T) {
+// cancelRequest cancels a request, unless its owner lets the request run to
+// completion.
+func (m *model) cancelRequest(t *rapid.T) {
 	if len(m.flights) == 0 {
 		return
 	}
 	i := rapid.IntRange(0, len(m.flights)-1).Draw(t, "flight")
 	f := m.flights[i]
-	if m.owners[f.owner].RunToCompletion() && !m.tamper.cancelsCold {
+	if m.owners[f.owner].RunToCompletion() && !m.faults.cancelsColdRequests {
 		return
 	}
-	m.withdraw(i, limit.ResultCancelled)
+	m.abandon(i, limit.ResultCancelled)
 }
 
-// timeOut lets the deadline of a request pass, whatever the owner would like.
+// timeOut ends a request by its deadline, whatever RunToCompletion returns.
 func (m *model) timeOut(t *rapid.T) {
 	if len(m.flights) > 0 {
-		m.withdraw(rapid.IntRange(0, len(m.flights)-1).Draw(t, "flight"), limit.ResultTimeout)
+		m.abandon(rapid.IntRange(0, len(m.flights)-1).Draw(t, "flight"), limit.ResultTimeout)
 	}
 }
 
-func (m *model) withdraw(i int, result limit.Result) {
+func (m *model) abandon(i int, result limit.Result) {
 	f := m.flights[i]
 	m.flights = append(m.flights[:i], m.flights[i+1:]...)
-	m.ghosts = append(m.ghosts, m.now.Add(cancelDelay))
+	m.cancelled = append(m.cancelled, m.now.Add(cancelDelay))
 	m.release(f, result)
 }
 
-// restart makes the server cold without a warning. Its owners notice when their
-// connections close, each in its own time.
+// restart makes the server cold and closes its connections. Each owner observes the
+// reset at its own time.
 func (m *model) restart(*rapid.T) {
-	lost := m.flights
-	m.flights, m.ghosts = nil, nil
+	interrupted := m.flights
+	m.flights, m.cancelled = nil, nil
 	m.cold = coldRequests
 	for i := range m.owners {
-		m.owners[i].unseen = true
+		m.owners[i].resetUnseen = true
 	}
-	for _, f := range lost {
-		m.seeReset(f.owner)
+	for _, f := range interrupted {
+		m.observeReset(f.owner)
 		m.release(f, limit.ResultConnectionFailed)
 	}
 }
 
-// turnCold makes the server cold with its connections open. No owner hears of it.
+// turnCold makes the server cold with open connections. No owner receives a signal.
 func (m *model) turnCold(t *rapid.T) {
 	m.cold = coldRequests
-	if m.atServer() > modelBears {
-		t.Fatalf("the cold server has %d requests in flight", m.atServer())
+	if m.inFlightAtServer() > modelColdInFlight {
+		t.Fatalf("the cold server has %d requests in flight", m.inFlightAtServer())
 	}
 }
 
-func (m *model) notice(t *rapid.T) {
-	m.seeReset(rapid.IntRange(0, modelOwners-1).Draw(t, "owner"))
+func (m *model) noticeReset(t *rapid.T) {
+	m.observeReset(rapid.IntRange(0, modelOwners-1).Draw(t, "owner"))
 }
 
-func (m *model) noticeAll(*rapid.T) {
+func (m *model) noticeResets(*rapid.T) {
 	for i := range m.owners {
-		m.seeReset(i)
+		m.observeReset(i)
 	}
-	m.pass(1)
+	m.advance(1)
 }
 
-func (m *model) seeReset(i int) {
+func (m *model) observeReset(i int) {
 	o := m.owners[i]
-	if !o.unseen {
+	if !o.resetUnseen {
 		return
 	}
-	o.unseen = false
-	if !m.tamper.missesResets {
+	o.resetUnseen = false
+	if !m.faults.missesResets {
 		o.Observe(m.now, limit.SignalReset)
 	}
 }
 
-// moveAuthority makes another owner the first one. The earlier one knows before
-// the next one does; for a time none is first.
-func (m *model) moveAuthority(t *rapid.T) {
+// changeFirstOwner makes another owner the first one. The previous first owner is
+// updated before the next one, so for a time no owner is first.
+func (m *model) changeFirstOwner(t *rapid.T) {
 	next := rapid.IntRange(0, modelOwners-1).Draw(t, "next first")
 	for i, o := range m.owners {
-		if o.first && i != next && !m.tamper.keepsAuthority {
+		if o.first && i != next && !m.faults.keepsFirstRank {
 			o.first = false
 			o.SetShare(m.now, modelShare, false)
 		}
 	}
 	m.first = next
-	m.pass(rapid.IntRange(0, 50).Draw(t, "without first"))
+	m.advance(rapid.IntRange(0, 50).Draw(t, "ms without first owner"))
 	if o := m.owners[next]; !o.first {
 		o.first = true
 		o.SetShare(m.now, modelShare, true)
 	}
 }
 
-// tell sends what an owner knows to another one, and hear delivers it, in any
-// order and any number of times.
-func (m *model) tell(t *rapid.T) {
+// sendReport sends an owner's state to another one. deliverReport delivers reports in
+// any order and any number of times.
+func (m *model) sendReport(t *rapid.T) {
 	from := rapid.IntRange(0, modelOwners-1).Draw(t, "from")
 	o := m.owners[from]
-	if o.unseen {
-		m.seeReset(from)
+	if o.resetUnseen {
+		m.observeReset(from)
 	}
 	state := o.State()
 	if state == pb.ReplicaState_REPLICA_STATE_WARM && !o.first {
 		return
 	}
-	m.news = append(m.news, news{
-		to: rapid.IntRange(0, modelOwners-1).Draw(t, "to"), state: state, late: m.now.Add(newsDelay),
+	m.reports = append(m.reports, report{
+		to: rapid.IntRange(0, modelOwners-1).Draw(t, "to"), state: state, expires: m.now.Add(reportMaxAge),
 	})
 }
 
-func (m *model) hear(t *rapid.T) {
-	if len(m.news) == 0 {
+func (m *model) deliverReport(t *rapid.T) {
+	if len(m.reports) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.news)-1).Draw(t, "news")
-	n := m.news[i]
-	if !rapid.Bool().Draw(t, "again") {
-		m.news = append(m.news[:i], m.news[i+1:]...)
+	i := rapid.IntRange(0, len(m.reports)-1).Draw(t, "report")
+	r := m.reports[i]
+	if !rapid.Bool().Draw(t, "redeliver") {
+		m.reports = append(m.reports[:i], m.reports[i+1:]...)
 	}
-	if m.now.After(n.late) {
+	if m.now.After(r.expires) {
 		return
 	}
-	switch n.state {
+	switch r.state {
 	case pb.ReplicaState_REPLICA_STATE_WARM:
-		if m.tamper.revivesByNews {
-			m.owners[n.to].Observe(m.now, limit.SignalServing)
+		if m.faults.staleReportEndsDrain {
+			m.owners[r.to].Observe(m.now, limit.SignalServing)
 		}
-		m.owners[n.to].ObserveWarm(m.now)
+		m.owners[r.to].ObserveWarm(m.now)
 	case pb.ReplicaState_REPLICA_STATE_COLD:
-		m.owners[n.to].Observe(m.now, limit.SignalColdReport)
+		m.owners[r.to].Observe(m.now, limit.SignalColdReport)
 	}
 }
 
-// hearAll delivers all that is on its way.
-func (m *model) hearAll(t *rapid.T) {
-	for len(m.news) > 0 {
-		m.hear(t)
+// deliverReports delivers all reports in transit.
+func (m *model) deliverReports(t *rapid.T) {
+	for len(m.reports) > 0 {
+		m.deliverReport(t)
 	}
 }
 
-// drain and serve let one owner hear that the server leaves or is back.
+// drain and serve report to one owner that the server drains or serves again.
 func (m *model) drain(t *rapid.T) {
 	o := m.owners[rapid.IntRange(0, modelOwners-1).Draw(t, "owner")]
 	o.draining = true
-	if !m.tamper.ignoresDraining {
+	if !m.faults.ignoresDraining {
 		o.Observe(m.now, limit.SignalDraining)
 	}
 }
@@ -326,27 +330,27 @@
 }
 
 func (m *model) wait(t *rapid.T) {
-	m.pass(rapid.IntRange(1, 400).Draw(t, "ms"))
+	m.advance(rapid.IntRange(1, 400).Draw(t, "ms"))
 }
 
-// pass lets time go by; requests that are due end on the way.
-func (m *model) pass(ms int) {
+// advance moves the clock and ends the requests whose time is over.
+func (m *model) advance(ms int) {
 	until := m.now.Add(time.Duration(ms) * time.Millisecond)
 	for {
-		due := false
+		anyDue := false
 		for _, f := range m.flights {
-			due = due || !f.end.After(until)
+			anyDue = anyDue || !f.end.After(until)
 		}
-		if !due {
+		if !anyDue {
 			break
 		}
-		m.finish(nil)
+		m.finishNext(nil)
 	}
 	m.now = until
 }
 
-// rush is load from all owners at once.
-func (m *model) rush(t *rapid.T) {
+// saturate sends as many requests as all owners may send.
+func (m *model) saturate(t *rapid.T) {
 	for i, o := range m.owners {
 		for before := -1; before < o.InFlight(); {
 			before = o.InFlight()
@@ -355,102 +359,101 @@
 	}
 }
 
-// burst is one owner under load, which is how a server warms up.
+// burst sends requests of one owner one after the other, which warms the server up.
 func (m *model) burst(t *rapid.T) {
 	i := rapid.IntRange(0, modelOwners-1).Draw(t, "owner")
 	for range rapid.IntRange(1, 40).Draw(t, "requests") {
 		m.sendFrom(t, i)
-		m.finish(t)
+		m.finishNext(t)
 	}
 }
 
-// warmUp lets the first owner warm the server up and tell the others.
+// warmUp lets the first owner warm the server up and sends its state to all owners.
 func (m *model) warmUp(t *rapid.T) {
 	for range 3 * coldRequests {
 		m.sendFrom(t, m.first)
-		m.finish(t)
-		m.pass(5)
+		m.finishNext(t)
+		m.advance(5)
 	}
 	for i := range m.owners {
-		m.news = append(m.news, news{to: i, state: m.owners[m.first].State(), late: m.now.Add(newsDelay)})
+		m.reports = append(m.reports, report{to: i, state: m.owners[m.first].State(), expires: m.now.Add(reportMaxAge)})
 	}
 }
 
-// settle checks that the first owner comes back to its full share once nothing
-// disturbs it.
-func (m *model) settle(t *rapid.T) {
+// checkRecovery checks that the first owner reaches its full share again after the
+// faults have ended.
+func (m *model) checkRecovery(t *rapid.T) {
 	for i, o := range m.owners {
-		m.seeReset(i)
+		m.observeReset(i)
 		o.draining = false
 		o.Observe(m.now, limit.SignalServing)
 	}
-	m.news = nil
+	m.reports = nil
 	first := m.owners[m.first]
 	for range 200 {
 		m.sendFrom(t, m.first)
 		m.sendFrom(t, m.first)
-		m.finish(t)
-		m.pass(10)
+		m.finishNext(t)
+		m.advance(10)
 	}
 	full := modelShare
-	if m.tamper.exclusive && !m.tamper.manyAtWarm {
-		full = modelBears
+	if m.faults.exclusive && !m.faults.sharedWhenWarm {
+		full = modelColdInFlight
 	}
 	if first.State() != pb.ReplicaState_REPLICA_STATE_WARM || first.Limit() != full {
-		t.Fatalf("the first owner has %d places of %d back", first.Limit(), full)
+		t.Fatalf("the first owner's limit recovered to %d of %d", first.Limit(), full)
 	}
 }
 
-func runModel(t *rapid.T, tm tamper) {
-	m := newModel(tm)
+func runModel(t *rapid.T, f faults) {
+	m := newModel(f)
 	actions := map[string]func(*rapid.T){
-		"send": m.send, "send more": m.send, "burst": m.burst, "rush": m.rush,
-		"finish": m.finish, "give up": m.giveUp, "restart": m.restart, "notice": m.notice, "notice all": m.noticeAll,
-		"move authority": m.moveAuthority, "tell": m.tell, "warm up more": m.warmUp,
-		"warm up": m.warmUp, "hear": m.hear, "hear all": m.hearAll, "drain": m.drain, "serve": m.serve, "wait": m.wait,
+		"send": m.send, "send more": m.send, "burst": m.burst, "saturate": m.saturate,
+		"finish": m.finishNext, "give up": m.cancelRequest, "restart": m.restart, "notice": m.noticeReset, "notice all": m.noticeResets,
+		"move first rank": m.changeFirstOwner, "share state": m.sendReport, "warm up more": m.warmUp,
+		"warm up": m.warmUp, "message arrives": m.deliverReport, "messages arrive": m.deliverReports, "drain": m.drain, "serve": m.serve, "wait": m.wait,
 	}
-	if tm.exclusive {
+	if f.exclusive {
 		actions["turn cold"], actions["time out"] = m.turnCold, m.timeOut
 	}
 	t.Repeat(actions)
-	m.settle(t)
+	m.checkRecovery(t)
 }
 
-// Several owners of one replica that restarts, drains and changes hands while
-// they hear of it late and disagree on who is first: the cold server never gets
-// more than it bears, a draining one gets nothing, no owner goes beyond its
-// share, and the full share always comes back.
+// Guards against an overload of a cold server by several owners while it restarts,
+// drains and changes owners, and while owners receive reports late and disagree on
+// which is first. A draining server receives nothing, no owner exceeds its share, and
+// the limit recovers to the full share.
 func TestModelOwnersOfAColdReplica(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { runModel(t, tamper{}) })
+	rapid.Check(t, func(t *rapid.T) { runModel(t, faults{}) })
 }
 
-// As above, and the server may turn cold at any step with its connections open
-// and nothing telling: what is in flight at that moment is already within what it
-// bears, because one owner alone sends, warm or not.
+// As above, with a server that may turn cold at any step with open connections and
+// without a signal. The requests in flight at that moment must not overload it.
 func TestModelReplicaThatTurnsColdUnseen(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { runModel(t, tamper{exclusive: true}) })
+	rapid.Check(t, func(t *rapid.T) { runModel(t, faults{exclusive: true}) })
 }
 
 func TestModelCatchesBrokenVariants(t *testing.T) {
 	for _, v := range []struct {
 		name, caught string
-		tamper       tamper
+		faults       faults
 	}{
-		{"believes old news", "cold server has", tamper{believesOldNews: true}},
-		{"no rest between owners", "cold server has", tamper{noRest: true}},
-		{"misses resets", "cold server has", tamper{missesResets: true}},
-		{"grows at any latency", "cold server has", tamper{ignoresLatency: true}},
-		{"cancels at a cold replica", "cold server has", tamper{cancelsCold: true}},
-		{"keeps authority", "cold server has", tamper{keepsAuthority: true}},
-		{"ignores draining", "draining replica got", tamper{ignoresDraining: true}},
-		{"old news ends a drain", "draining replica got", tamper{revivesByNews: true}},
-		{"unseen: many at a warm replica", "cold server has", tamper{exclusive: true, manyAtWarm: true}},
-		{"unseen: cancels", "cold server has", tamper{exclusive: true, cancelsCold: true}},
-		{"unseen: no rest between owners", "cold server has", tamper{exclusive: true, noRest: true}},
-		{"unseen: keeps authority", "cold server has", tamper{exclusive: true, keepsAuthority: true}},
+		{"accepts stale reports", "cold server has", faults{acceptsStaleReports: true}},
+		{"no takeover delay", "cold server has", faults{noTakeoverDelay: true}},
+		{"misses resets", "cold server has", faults{missesResets: true}},
+		{"grows at any latency", "cold server has", faults{ignoresLatency: true}},
+		{"cancels requests at a cold replica", "cold server has", faults{cancelsColdRequests: true}},
+		{"previous owner stays first", "cold server has", faults{keepsFirstRank: true}},
+		{"ignores draining", "draining replica got", faults{ignoresDraining: true}},
+		{"stale report ends a drain", "draining replica got", faults{staleReportEndsDrain: true}},
+		{"no signal: all owners use a warm replica", "cold server has", faults{exclusive: true, sharedWhenWarm: true}},
+		{"no signal: cancels requests", "cold server has", faults{exclusive: true, cancelsColdRequests: true}},
+		{"no signal: no takeover delay", "cold server has", faults{exclusive: true, noTakeoverDelay: true}},
+		{"no signal: previous owner stays first", "cold server has", faults{exclusive: true, keepsFirstRank: true}},
 	} {
 		t.Run(v.name, func(t *testing.T) {
-			modeltest.Caught(t, v.caught, func(t *rapid.T) { runModel(t, v.tamper) })
+			modeltest.Caught(t, v.caught, func(t *rapid.T) { runModel(t, v.faults) })
 		})
 	}
 }
--- a/policy/limit/release.go
+++ b/policy/limit/release.go
@@ -12,16 +12,16 @@
 	ResultError
 	// ResultTimeout means that the deadline passed without an answer.
 	ResultTimeout
-	// ResultCancelled means that the node gave the request up, for instance the loser of
-	// a hedge.
+	// ResultCancelled means that the node cancelled the request, for instance the
+	// loser of a hedge.
 	ResultCancelled
-	// ResultShed means that the replica refused the request for its load.
+	// ResultShed means that the replica shed the request because of overload.
 	ResultShed
-	// ResultConnectionFailed means that the connection was refused or reset. A silent
-	// connection that newer ones disprove is ResultCancelled: it says nothing
-	// about the replica.
+	// ResultConnectionFailed means that the connection was refused or reset. A
+	// request on a silent connection is ResultCancelled if newer connections work,
+	// because only that connection failed.
 	ResultConnectionFailed
-	// ResultNotSent means that the request was given up before anything was sent.
+	// ResultNotSent means that the request was cancelled before anything was sent.
 	ResultNotSent
 )
 
@@ -33,82 +33,80 @@
 	// PeerLatency is the typical latency of the shard's other warm replicas for
 	// requests of the same class, 0 when unknown.
 	PeerLatency time.Duration
-	// ReportsCold is true when the answer says that the replica is cold.
+	// ReportsCold is true when the replica reports in its answer that it is cold.
 	ReportsCold bool
-	// Items is how many subrequests the request carried, as told to SetBatchSize; 0 and 1
-	// are a single one.
+	// Items is the number of subrequests, as passed to SetBatchSize. 0 and 1 mean a
+	// single request.
 	Items int
-	// MedianObserved is true when MedianObserved has judged the request before.
+	// MedianObserved is true when ObserveMedian was called for the request.
 	MedianObserved bool
 }
 
 const (
-	// confirmRun is how many successes at normal latency in a row a cold replica
-	// needs before its limit first grows.
-	confirmRun = 8
-	// unknownRun replaces confirmRun while there is no latency to compare with.
-	unknownRun = 24
-	// slowFactor is how much the limit of a warm replica falls when its answers
-	// queue.
-	slowFactor = 0.8
+	// rampAfter is the number of consecutive successes at normal latency after which
+	// the limit of a cold replica starts to grow.
+	rampAfter = 8
+	// rampAfterNoReference replaces rampAfter while there is no reference latency.
+	rampAfterNoReference = 24
+	// decreaseFactor is applied to the limit of a warm replica on a slow answer.
+	decreaseFactor = 0.8
 )
 
-// Release ends a request that TryAcquire let through.
+// Release ends a request that TryAcquire admitted.
 func (l *Limiter) Release(now time.Time, s Sample) {
 	l.batches.extra -= max(s.Items-1, 0)
 	if s.MedianObserved {
-		l.releaseAnswered(now, s)
+		l.releaseMeasured(now, s)
 		return
 	}
 	l.inFlight.remove(now.Add(-s.Latency))
-	l.judge(now, s)
+	l.observeOutcome(now, s)
 }
 
-// judge takes in how a request ended.
-func (l *Limiter) judge(now time.Time, s Sample) {
+func (l *Limiter) observeOutcome(now time.Time, s Sample) {
 	switch s.Result {
 	case ResultShed:
-		l.lost = 0
+		l.failedConnections = 0
 		l.Observe(now, SignalShed)
 	case ResultConnectionFailed:
 		l.Observe(now, SignalReset)
 	case ResultCancelled, ResultTimeout:
-		l.abandoned(now, s)
+		l.observeAbandoned(now, s)
 	case ResultError:
-		l.lost = 0
-		l.run = 0
+		l.failedConnections = 0
+		l.normalRun = 0
 	case ResultOK:
-		l.lost = 0
-		l.succeeded(now, s)
+		l.failedConnections = 0
+		l.observeSuccess(now, s)
 	case ResultNotSent:
 	}
 }
 
-// abandoned handles a request without an answer. Its latency is a lower bound,
-// so it can show that the replica is slow but never that it is fast. Until the
-// replica has noticed the cancellation it may still work on the request; a
-// replica that is not warm therefore gets no other in its place for a while.
-func (l *Limiter) abandoned(now time.Time, s Sample) {
-	l.holdCancelled(now, s)
-	if l.latency.slow(s) {
-		l.answeredSlowly(now, s)
+// observeAbandoned handles a request without an answer. Its latency is a lower
+// bound, which can show that the replica is slow but not that it is fast. The
+// replica may work on the request until the cancellation arrives. While the replica
+// is not warm, the request therefore occupies its slot for a grace period.
+func (l *Limiter) observeAbandoned(now time.Time, s Sample) {
+	l.holdSlots(now, s)
+	if l.latency.countSlow(s) {
+		l.observeSlow(now, s)
 	}
 }
 
-func (l *Limiter) succeeded(now time.Time, s Sample) {
+func (l *Limiter) observeSuccess(now time.Time, s Sample) {
 	if !s.ReportsCold {
 		l.coldReports = 0
-	} else if l.believeColdReport(now) {
+	} else if l.acceptColdReport(now) {
 		l.latency.observe(now, s)
-		l.chill(now, SignalColdReport)
+		l.dropToFloor(now, SignalColdReport)
 		return
 	}
 	normal := l.latency.observe(now, s)
 	if !normal {
-		l.answeredSlowly(now, s)
+		l.observeSlow(now, s)
 		return
 	}
-	l.run++
+	l.normalRun++
 	if l.phase == warm {
 		l.raiseWarm()
 		return
@@ -116,11 +114,11 @@
 	l.raiseCold(s)
 }
 
-// answeredSlowly stops growth. Several answers in a row that are far from the
-// siblings' are a sign of a cold start; one alone is a straggler.
-func (l *Limiter) answeredSlowly(now time.Time, s Sample) {
-	l.run = 0
-	if l.latency.slowRun >= slowRunCold {
+// observeSlow stops growth after an answer above normal latency. coldSlowRun slow
+// answers in a row are a signal of a cold start; fewer may be stragglers.
+func (l *Limiter) observeSlow(now time.Time, s Sample) {
+	l.normalRun = 0
+	if l.latency.slowRun >= coldSlowRun {
 		l.Observe(now, SignalSlow)
 		return
 	}
@@ -128,33 +126,33 @@
 		l.limit = l.floor()
 		return
 	}
-	if now.Sub(l.decreased) < s.Latency {
+	if now.Sub(l.decreasedAt) < s.Latency {
 		return
 	}
-	l.decreased = now
-	l.limit = max(1, l.limit*slowFactor)
+	l.decreasedAt = now
+	l.limit = max(1, l.limit*decreaseFactor)
 }
 
-// raiseCold grows the limit of a replica at normal latency: first a run of
-// successes at the floor, then one more place for each success, which doubles
-// the limit in each round trip. The replica is warm at its full share.
+// raiseCold grows the limit of a replica that is not warm yet. After a run of
+// successes at the floor, each success adds one slot, which doubles the limit in
+// each round trip. The replica is warm once the limit is the full share.
 func (l *Limiter) raiseCold(s Sample) {
 	if !l.params.First {
 		return
 	}
 	if l.phase != ramping {
-		need := confirmRun
-		if !l.latency.comparable(s) {
-			need = unknownRun
+		need := rampAfter
+		if !l.latency.hasReference(s) {
+			need = rampAfterNoReference
 		}
-		if l.run < need {
+		if l.normalRun < need {
 			return
 		}
 		l.phase = ramping
-		l.latency.adoptTrial()
+		l.latency.adoptProvisional()
 	}
 	l.limit = min(l.limit+1, float64(l.params.MaxInFlight))
-	if l.limit >= float64(l.params.MaxInFlight) && l.run >= confirmRun+l.params.MaxInFlight {
+	if l.limit >= float64(l.params.MaxInFlight) && l.normalRun >= rampAfter+l.params.MaxInFlight {
 		l.becomeWarm()
 	}
 }
