--- a/policy/reach/reach.go
+++ b/policy/reach/reach.go
@@ -1,6 +1,6 @@
-// Package reach judges which data centres a node can reach, from the answers of their
-// replicas and from attempts that got none. It answers partitions: a node learns of a
-// cut once for a whole data centre, instead of once for each replica behind it.
+// Package reach detects which data centres a node cannot reach, from the answers of
+// their replicas and from attempts without an answer. After a network partition, a node
+// stops using a whole data centre at once, instead of failing at each of its replicas.
 package reach
 
 import (
@@ -9,46 +9,48 @@
 )
 
 const (
-	// silentFor is how long no replica of a data centre may have answered before it
-	// counts as out of reach. Replicas pause for up to a sixth of a second, each at
-	// its own time; a whole data centre never does. A node of a busy fleet hears from
-	// each data centre some fifty times a second.
-	silentFor = 400 * time.Millisecond
-	// silentAttempts and silentReplicas is the evidence needed beside time: an idle
-	// node hears nothing either, and one dark replica is not a data centre that has
-	// others.
-	silentAttempts = 4
-	silentReplicas = 2
-	// isolatedFrom is the least number of other data centres that must all be out of
-	// reach for the node to count as isolated: with one, it may be the other side
-	// that is cut off.
-	isolatedFrom = 2
-	// quietFor is how long a data centre may have been silent before it is probed while
-	// another one is out of reach.
-	quietFor = 200 * time.Millisecond
+	// unreachableAfter is the time without an answer from any replica of a data centre
+	// after which the data centre may count as unreachable. Single replicas pause for
+	// up to a sixth of a second, but not all replicas of a data centre at once. In a
+	// busy fleet, each data centre answers a node about fifty times a second.
+	unreachableAfter = 400 * time.Millisecond
+	// minAttempts is the number of unanswered attempts that are required as well, since
+	// an idle node receives no answers either. minSilentReplicas is the number of
+	// replicas that they must concern, so that a single failed replica does not make
+	// its data centre unreachable.
+	minAttempts       = 4
+	minSilentReplicas = 2
+	// minOtherDataCentres is the number of other data centres below which a node never
+	// counts as isolated. With only one, that one may be the partitioned side.
+	minOtherDataCentres = 2
+	// probeAfter is the time without an answer after which a data centre is probed while
+	// another one is unreachable.
+	probeAfter = 200 * time.Millisecond
 )
 
-// Tracker is what one node knows. Not safe for concurrent use.
+// Tracker tracks which data centres one node can reach. Not safe for concurrent use.
 type Tracker struct {
 	own     string
 	centres map[string]*centre
 }
 
-// centre is what is known of one data centre.
+// centre is the state of one data centre.
 type centre struct {
-	// replicas is how many are known.
-	replicas int
-	answered time.Time
-	attempts int
-	silent   map[string]bool
+	// replicas is the number of registered replicas.
+	replicas   int
+	lastAnswer time.Time
+	// unanswered counts the attempts without an answer since the last answer, and silent
+	// holds up to minSilentReplicas of their replicas.
+	unanswered int
+	silent     map[string]bool
 }
 
-// New returns a tracker of a node in a data centre.
+// New returns the tracker of a node in the given data centre.
 func New(own string) *Tracker {
 	return &Tracker{own: own, centres: make(map[string]*centre)}
 }
 
-// SetDataCentres replaces the data centres in which replicas are known. replicas holds how many.
+// SetDataCentres replaces the data centres and their numbers of replicas.
 func (t *Tracker) SetDataCentres(now time.Time, replicas map[string]int) {
 	for name := range t.centres {
 		if replicas[name] == 0 {
@@ -57,112 +59,114 @@
 	}
 	for name, n := range replicas {
 		if t.centres[name] == nil {
-			t.centres[name] = &centre{answered: now, silent: make(map[string]bool)}
+			t.centres[name] = &centre{lastAnswer: now, silent: make(map[string]bool)}
 		}
 		t.centres[name].replicas = n
 	}
 }
 
-// RecordAnswer notes that a replica of the data centre answered anything at all.
+// RecordAnswer records any answer, errors included, of a replica of the data centre.
 func (t *Tracker) RecordAnswer(now time.Time, name string) {
 	c := t.centres[name]
 	if c == nil {
 		return
 	}
-	c.answered = now
-	if c.attempts > 0 {
-		c.attempts = 0
+	c.lastAnswer = now
+	if c.unanswered > 0 {
+		c.unanswered = 0
 		clear(c.silent)
 	}
 }
 
-// RecordNoAnswer notes that an attempt at a replica got no answer.
+// RecordNoAnswer records an attempt at a replica that ended without an answer.
 func (t *Tracker) RecordNoAnswer(name, replica string) {
 	c := t.centres[name]
 	if c == nil {
 		return
 	}
-	c.attempts++
-	if len(c.silent) < silentReplicas {
+	c.unanswered++
+	if len(c.silent) < minSilentReplicas {
 		c.silent[replica] = true
 	}
 }
 
-// PendingAttempt is an attempt that has been out at a replica for longer than replicas pause.
+// PendingAttempt is an attempt that has been in flight for longer than replicas pause.
 type PendingAttempt struct {
 	DataCentre, Replica string
 }
 
-// Reachability says what a node can reach. Immutable.
+// Reachability is the result of an evaluation. Immutable.
 type Reachability struct {
-	// Unreachable holds the data centres that are out of reach.
+	// Unreachable is the set of unreachable data centres.
 	Unreachable map[string]bool
-	// Isolated is set when every other data centre is out of reach, or most are and what
-	// is left can answer too little. Callers are then better served by other nodes.
+	// Isolated is true when every other data centre is unreachable, or when most are and
+	// the reachable ones cannot answer requests. Other nodes should then serve the
+	// callers.
 	Isolated bool
-	// Probe lists the data centres that need a probe: those out of reach, and those that
-	// were silent for a while although another one is out of reach. Requests that are
-	// refused for want of shards reach nobody, so that without probes an idle link
-	// would count as working for as long as a cut lasts.
+	// Probe lists the data centres to probe: the unreachable ones and, while there are
+	// any, those without an answer for probeAfter. A request that is refused because
+	// shards are missing is sent to no replica. Without probes, an idle data centre would
+	// count as reachable for the whole partition.
 	Probe []string
 }
 
-// Evaluate weighs the attempts that ended without an answer and those that still wait.
-// sufficient reports whether requests can be answered without the given data centres.
-func (t *Tracker) Evaluate(now time.Time, waiting []PendingAttempt, sufficient func(out map[string]bool) bool) Reachability {
-	attempts := make(map[string]int)
+// Evaluate determines reachability from the attempts that ended without an answer and
+// from those still pending. sufficient reports whether requests can be answered without
+// the given data centres.
+func (t *Tracker) Evaluate(now time.Time, pending []PendingAttempt, sufficient func(unreachable map[string]bool) bool) Reachability {
+	pendingCount := make(map[string]int)
 	replicas := make(map[string]map[string]bool)
-	for _, w := range waiting {
-		attempts[w.DataCentre]++
-		if replicas[w.DataCentre] == nil {
-			replicas[w.DataCentre] = make(map[string]bool)
+	for _, p := range pending {
+		pendingCount[p.DataCentre]++
+		if replicas[p.DataCentre] == nil {
+			replicas[p.DataCentre] = make(map[string]bool)
 		}
-		replicas[w.DataCentre][w.Replica] = true
+		replicas[p.DataCentre][p.Replica] = true
 	}
-	j := Reachability{Unreachable: make(map[string]bool)}
+	r := Reachability{Unreachable: make(map[string]bool)}
 	for name, c := range t.centres {
-		if c.out(now, attempts[name], replicas[name]) {
-			j.Unreachable[name] = true
+		if c.unreachable(now, pendingCount[name], replicas[name]) {
+			r.Unreachable[name] = true
 		}
 	}
-	j.Isolated = t.isolated(j.Unreachable, sufficient)
-	j.Probe = t.probes(now, j.Unreachable)
-	return j
+	r.Isolated = t.isolated(r.Unreachable, sufficient)
+	r.Probe = t.probes(now, r.Unreachable)
+	return r
 }
 
-// isolated reports whether callers are better served elsewhere.
-func (t *Tracker) isolated(out map[string]bool, sufficient func(out map[string]bool) bool) bool {
-	others, unreachable := 0, 0
+// isolated reports whether other nodes should serve the callers.
+func (t *Tracker) isolated(unreachable map[string]bool, sufficient func(unreachable map[string]bool) bool) bool {
+	others, lost := 0, 0
 	for name := range t.centres {
 		if name == t.own {
 			continue
 		}
 		others++
-		if out[name] {
-			unreachable++
+		if unreachable[name] {
+			lost++
 		}
 	}
-	reachable := others - unreachable
+	reachable := others - lost
 	switch {
-	case others < isolatedFrom:
+	case others < minOtherDataCentres:
 		return false
 	case reachable == 0:
 		return true
-	case unreachable <= reachable+1:
-		// This node is on the larger side, or on one of two equal ones.
+	case lost <= reachable+1:
+		// This node is on the larger side of the partition, or on one of two equal sides.
 		return false
 	}
-	return !sufficient(out)
+	return !sufficient(unreachable)
 }
 
-// probes returns the data centres that need a probe, in order of name.
-func (t *Tracker) probes(now time.Time, out map[string]bool) []string {
-	if len(out) == 0 {
+// probes returns the data centres to probe, sorted by name.
+func (t *Tracker) probes(now time.Time, unreachable map[string]bool) []string {
+	if len(unreachable) == 0 {
 		return nil
 	}
 	var names []string
 	for name, c := range t.centres {
-		if out[name] || name != t.own && now.Sub(c.answered) >= quietFor {
+		if unreachable[name] || name != t.own && now.Sub(c.lastAnswer) >= probeAfter {
 			names = append(names, name)
 		}
 	}
@@ -170,10 +174,10 @@
 	return names
 }
 
-// out reports whether the data centre is out of reach, with the attempts that wait
-// beside those that have ended.
-func (c *centre) out(now time.Time, waiting int, replicas map[string]bool) bool {
-	if now.Sub(c.answered) < silentFor || c.attempts+waiting < silentAttempts {
+// unreachable reports whether the data centre is unreachable. Pending attempts at the
+// given replicas count like those that ended without an answer.
+func (c *centre) unreachable(now time.Time, pendingCount int, replicas map[string]bool) bool {
+	if now.Sub(c.lastAnswer) < unreachableAfter || c.unanswered+pendingCount < minAttempts {
 		return false
 	}
 	distinct := len(c.silent)
@@ -182,5 +186,5 @@
 			distinct++
 		}
 	}
-	return distinct >= min(silentReplicas, c.replicas)
+	return distinct >= min(minSilentReplicas, c.replicas)
 }
--- a/policy/reach/reach_test.go
+++ b/policy/reach/reach_test.go
@@ -19,8 +19,8 @@
 
 func sufficient(map[string]bool) bool { return true }
 
-// silence notes attempts at two replicas of each named data centre that got no answer.
-func silence(t *reach.Tracker, names ...string) {
+// recordSilence records unanswered attempts at two replicas of each named data centre.
+func recordSilence(t *reach.Tracker, names ...string) {
 	for _, name := range names {
 		for range 3 {
 			t.RecordNoAnswer(name, name+"1")
@@ -29,38 +29,36 @@
 	}
 }
 
-// A data centre is cut off from all others while callers still reach its nodes: every
-// request there fails. Its nodes must find out within a second, and must find out as
-// well that the cut is over.
+// Guards against a node of a partitioned data centre that accepts requests it cannot
+// answer, and against one that refuses them after the partition has ended.
 func TestNodeIsIsolatedUntilAnotherDataCentreAnswers(t *testing.T) {
 	c := qt.New(t)
 	tr := tracker()
-	silence(tr, "b", "c", "d")
+	recordSilence(tr, "b", "c", "d")
 	tr.RecordAnswer(begin.Add(400*time.Millisecond), "a")
 	c.Assert(tr.Evaluate(begin.Add(300*time.Millisecond), nil, sufficient).Isolated, qt.IsFalse)
-	judged := tr.Evaluate(begin.Add(700*time.Millisecond), nil, sufficient)
-	c.Assert(judged.Isolated, qt.IsTrue)
-	c.Assert(judged.Unreachable, qt.HasLen, 3)
+	result := tr.Evaluate(begin.Add(700*time.Millisecond), nil, sufficient)
+	c.Assert(result.Isolated, qt.IsTrue)
+	c.Assert(result.Unreachable, qt.HasLen, 3)
 	tr.RecordAnswer(begin.Add(800*time.Millisecond), "c")
 	c.Assert(tr.Evaluate(begin.Add(900*time.Millisecond), nil, sufficient).Isolated, qt.IsFalse)
 }
 
-// Another data centre loses its power. This node is not the one that is cut off, and
-// its callers stay.
+// Guards against a node that refuses its callers because another data centre failed.
 func TestLossOfOneDataCentreDoesNotIsolateTheNode(t *testing.T) {
 	c := qt.New(t)
 	tr := tracker()
-	silence(tr, "b")
+	recordSilence(tr, "b")
 	tr.RecordAnswer(begin.Add(time.Second), "c")
 	tr.RecordAnswer(begin.Add(time.Second), "d")
 	now := begin.Add(1100 * time.Millisecond)
-	judged := tr.Evaluate(now, nil, sufficient)
-	c.Assert(judged.Unreachable, qt.DeepEquals, map[string]bool{"b": true})
-	c.Assert(judged.Isolated, qt.IsFalse)
+	result := tr.Evaluate(now, nil, sufficient)
+	c.Assert(result.Unreachable, qt.DeepEquals, map[string]bool{"b": true})
+	c.Assert(result.Isolated, qt.IsFalse)
 }
 
-// At night nothing is sent, so nothing answers; and a single dark replica swallows
-// whatever it gets. Neither makes its data centre unreachable.
+// Guards against a data centre that counts as unreachable because no requests are sent
+// or because a single replica does not answer.
 func TestIdleDataCentreOrSingleSilentReplicaIsNoPartition(t *testing.T) {
 	c := qt.New(t)
 	tr := tracker()
@@ -72,67 +70,66 @@
 	c.Assert(tr.Evaluate(now, nil, sufficient).Unreachable, qt.HasLen, 0)
 }
 
-// Right after a cut every connection to the other side holds a request that waits, so
-// that no further one is sent and none ends for a second. Those that wait must count:
-// without them the node noticed the cut after 1.5 s in place of 0.6 s.
+// Guards against a partition that is detected late because pending attempts do not
+// count. They occupy every connection, so no attempt ends for a second.
 func TestPendingAttemptsCountAsEvidenceOfAPartition(t *testing.T) {
 	c := qt.New(t)
 	tr := tracker()
-	var waiting []reach.PendingAttempt
+	var pending []reach.PendingAttempt
 	for _, name := range []string{"b", "c", "d"} {
 		for _, replica := range []string{"1", "1", "2", "2"} {
-			waiting = append(waiting, reach.PendingAttempt{DataCentre: name, Replica: name + replica})
+			pending = append(pending, reach.PendingAttempt{DataCentre: name, Replica: name + replica})
 		}
 	}
-	c.Assert(tr.Evaluate(begin.Add(300*time.Millisecond), waiting, sufficient).Isolated, qt.IsFalse)
-	c.Assert(tr.Evaluate(begin.Add(500*time.Millisecond), waiting, sufficient).Isolated, qt.IsTrue)
-	c.Assert(tr.Evaluate(begin.Add(500*time.Millisecond), waiting[:3], sufficient).Unreachable, qt.HasLen, 0)
+	c.Assert(tr.Evaluate(begin.Add(300*time.Millisecond), pending, sufficient).Isolated, qt.IsFalse)
+	c.Assert(tr.Evaluate(begin.Add(500*time.Millisecond), pending, sufficient).Isolated, qt.IsTrue)
+	c.Assert(tr.Evaluate(begin.Add(500*time.Millisecond), pending[:3], sufficient).Unreachable, qt.HasLen, 0)
 }
 
-// TestIdleDataCentreIsProbedDuringAPartition guards against a cut-off data centre that stays ready since
-// requests refused for want of shards tell nothing of an idle data centre.
+// Guards against a partitioned node that stays ready because an idle data centre counts
+// as reachable: requests refused for missing shards reach none of its replicas.
 func TestIdleDataCentreIsProbedDuringAPartition(t *testing.T) {
 	c := qt.New(t)
 	tr := tracker()
-	silence(tr, "b", "c")
+	recordSilence(tr, "b", "c")
 	now := begin.Add(500 * time.Millisecond)
-	judged := tr.Evaluate(now, nil, sufficient)
-	c.Assert(judged.Isolated, qt.IsFalse, qt.Commentf("d is idle, and may be in reach"))
-	c.Assert(judged.Probe, qt.DeepEquals, []string{"b", "c", "d"})
-	silence(tr, "d")
+	result := tr.Evaluate(now, nil, sufficient)
+	c.Assert(result.Isolated, qt.IsFalse, qt.Commentf("d is idle and may be reachable"))
+	c.Assert(result.Probe, qt.DeepEquals, []string{"b", "c", "d"})
+	recordSilence(tr, "d")
 	c.Assert(tr.Evaluate(now.Add(200*time.Millisecond), nil, sufficient).Isolated, qt.IsTrue)
 }
 
-// TestNoProbesWithoutAPartition guards against probes that cost connections while all is well.
+// Guards against probes that use connections while every data centre is reachable.
 func TestNoProbesWithoutAPartition(t *testing.T) {
 	c := qt.New(t)
 	tr := tracker()
 	c.Assert(tr.Evaluate(begin.Add(time.Hour), nil, sufficient).Probe, qt.HasLen, 0)
 	now := begin.Add(time.Hour)
-	silence(tr, "b")
+	recordSilence(tr, "b")
 	tr.RecordAnswer(now, "c")
 	c.Assert(tr.Evaluate(now, nil, sufficient).Probe, qt.DeepEquals, []string{"b", "d"})
 }
 
-// TestSmallerSideOfAPartitionIsIsolated guards against two data centres that are cut off from
-// the rest together and keep their callers although they hold too few shards.
+// Guards against a smaller side of a partition that accepts requests although it holds
+// too few shards to answer them.
 func TestSmallerSideOfAPartitionIsIsolated(t *testing.T) {
 	c := qt.New(t)
 	insufficient := func(map[string]bool) bool { return false }
-	for cut, isolated := range map[string]bool{"c": false, "cd": false, "cde": false, "cdef": true, "bcdef": true} {
+	for partition, isolated := range map[string]bool{"c": false, "cd": false, "cde": false, "cdef": true, "bcdef": true} {
 		tr := reach.New("a")
 		tr.SetDataCentres(begin, map[string]int{"a": 9, "b": 9, "c": 9, "d": 9, "e": 9, "f": 9})
-		for _, name := range cut {
-			silence(tr, string(name))
+		for _, name := range partition {
+			recordSilence(tr, string(name))
 		}
 		now := begin.Add(500 * time.Millisecond)
-		c.Check(tr.Evaluate(now, nil, insufficient).Isolated, qt.Equals, isolated, qt.Commentf("cut off: %s", cut))
-		c.Check(tr.Evaluate(now, nil, sufficient).Isolated, qt.Equals, cut == "bcdef", qt.Commentf("cut off: %s", cut))
+		c.Check(tr.Evaluate(now, nil, insufficient).Isolated, qt.Equals, isolated, qt.Commentf("partitioned: %s", partition))
+		c.Check(tr.Evaluate(now, nil, sufficient).Isolated, qt.Equals, partition == "bcdef", qt.Commentf("partitioned: %s", partition))
 	}
 }
 
-// TestDataCentreWithOneReplicaCanBeUnreachable guards against a cut that is never noticed since a
-// data centre holds too few replicas to be silent.
+// Guards against a partition that is never detected because a data centre has fewer
+// replicas than minSilentReplicas.
 func TestDataCentreWithOneReplicaCanBeUnreachable(t *testing.T) {
 	c := qt.New(t)
 	tr := reach.New("a")
@@ -141,6 +138,6 @@
 		tr.RecordNoAnswer("b", "b1")
 		tr.RecordNoAnswer("c", "c1")
 	}
-	judged := tr.Evaluate(begin.Add(time.Second), nil, sufficient)
-	c.Assert(judged.Unreachable, qt.DeepEquals, map[string]bool{"b": true})
+	result := tr.Evaluate(begin.Add(time.Second), nil, sufficient)
+	c.Assert(result.Unreachable, qt.DeepEquals, map[string]bool{"b": true})
 }
