--- a/policy/registry/registry.go
+++ b/policy/registry/registry.go
@@ -1,6 +1,6 @@
-// Package registry holds what replicas say of themselves in the platform's store,
-// and decides which of them may be used. It takes records in any order and keeps, by
-// key, the newest revision.
+// Package registry holds the records by which replicas register in the platform's
+// store, and selects the replicas that may be used. It accepts records in any order and
+// keeps the newest revision for each key.
 package registry
 
 import (
@@ -9,42 +9,42 @@
 	"time"
 )
 
-// Replica is what a replica says of itself.
+// Replica is the record of one replica.
 type Replica struct {
-	// ID names one replica; a restart mostly brings a new one. The address does
-	// not identify it, since addresses are reused by other services.
+	// ID identifies the replica. A restarted replica usually has a new ID. The address
+	// is not an identifier, because other services reuse addresses.
 	ID string
-	// Incarnation tells starts under the same ID apart; it rises.
+	// Incarnation distinguishes starts under the same ID and increases.
 	Incarnation int64
 	Service     string
 	Address     string
 	DataCentre  string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that the replica runs concurrently.
 	Slots int
-	// Draining replicas take no new requests.
+	// Draining replicas accept no new requests.
 	Draining bool
-	// ColdUntil is when it stops being cold; the zero time when it is warm.
+	// ColdUntil is the end of the cold start; the zero time for a warm replica.
 	ColdUntil time.Time
 }
 
-// VanishedGrace is how long a replica whose entry vanished during an outage of the
-// store stays usable after the store is back. Entries lapse while the store cannot be
-// reached; those of live replicas are back within two seconds of its return, says the
-// platform's contract. It stays inside the time that a removed replica still serves.
+// VanishedGrace is how long a replica stays usable whose entry vanished because of an
+// outage of the store. Entries expire while the store cannot be reached. By the platform's
+// contract, live replicas register again within two seconds after the outage. The grace
+// is shorter than the time for which a removed replica still serves.
 const VanishedGrace = 2 * time.Second
 
 // entry is the newest record of one replica.
 type entry struct {
 	replica  Replica
 	revision uint64
-	// goneAt is when a vanished entry counts as gone; zero while it is there.
-	goneAt time.Time
-	// removed entries remember their revision, so that older news cannot bring
-	// them back.
+	// expiresAt is when a vanished entry is removed; the zero time while it is listed.
+	expiresAt time.Time
+	// removed entries keep their revision, so that an older record does not restore
+	// them.
 	removed bool
 }
 
-// Table is the newest record of each replica. Not safe for concurrent use.
+// Table holds the newest record of each replica. Not safe for concurrent use.
 type Table struct {
 	entries map[string]*entry
 }
@@ -52,7 +52,7 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{entries: make(map[string]*entry)} }
 
-// Put takes a record. Older revisions and older incarnations change nothing.
+// Put applies a record. Records of an older revision or incarnation are ignored.
 func (t *Table) Put(r Replica, revision uint64) (changed bool) {
 	e := t.entries[r.ID]
 	if e == nil {
@@ -62,22 +62,22 @@
 	if revision <= e.revision || r.Incarnation < e.replica.Incarnation {
 		return false
 	}
-	changed = e.removed || !e.goneAt.IsZero() || e.replica != r
+	changed = e.removed || !e.expiresAt.IsZero() || e.replica != r
 	*e = entry{replica: r, revision: revision}
 	return changed
 }
 
-// Remove takes a tombstone. During or right after an outage of the store (doubtful),
-// the replica stays usable for VanishedGrace.
-func (t *Table) Remove(now time.Time, id string, revision uint64, doubtful bool) (changed bool) {
+// Remove applies the removal of an entry. During or right after an outage of the store
+// (duringOutage), a replica that is not draining stays usable for VanishedGrace.
+func (t *Table) Remove(now time.Time, id string, revision uint64, duringOutage bool) (changed bool) {
 	e := t.entries[id]
 	if e == nil || e.removed || revision <= e.revision {
 		return false
 	}
 	e.revision = revision
-	if doubtful && !e.replica.Draining {
-		if e.goneAt.IsZero() {
-			e.goneAt = now.Add(VanishedGrace)
+	if duringOutage && !e.replica.Draining {
+		if e.expiresAt.IsZero() {
+			e.expiresAt = now.Add(VanishedGrace)
 		}
 		return false
 	}
@@ -85,21 +85,21 @@
 	return true
 }
 
-// RemoveMissing treats every replica that a complete reading of the store at that
-// revision did not list as removed.
-func (t *Table) RemoveMissing(now time.Time, listed map[string]bool, revision uint64, doubtful bool) (changed bool) {
+// RemoveMissing removes every replica that a complete read of the store at the given
+// revision did not list.
+func (t *Table) RemoveMissing(now time.Time, listed map[string]bool, revision uint64, duringOutage bool) (changed bool) {
 	for id, e := range t.entries {
-		if !listed[id] && !e.removed && t.Remove(now, id, revision, doubtful) {
+		if !listed[id] && !e.removed && t.Remove(now, id, revision, duringOutage) {
 			changed = true
 		}
 	}
 	return changed
 }
 
-// Expire removes vanished replicas whose grace is over.
+// Expire removes the vanished replicas whose grace period has ended.
 func (t *Table) Expire(now time.Time) (changed bool) {
 	for _, e := range t.entries {
-		if !e.removed && !e.goneAt.IsZero() && !now.Before(e.goneAt) {
+		if !e.removed && !e.expiresAt.IsZero() && !now.Before(e.expiresAt) {
 			e.removed = true
 			changed = true
 		}
@@ -107,26 +107,26 @@
 	return changed
 }
 
-// NextExpiry returns when Expire is due; the zero time when no replica has vanished.
+// NextExpiry returns when Expire must run next; the zero time if no entry has vanished.
 func (t *Table) NextExpiry() time.Time {
 	var next time.Time
 	for _, e := range t.entries {
-		if e.removed || e.goneAt.IsZero() {
+		if e.removed || e.expiresAt.IsZero() {
 			continue
 		}
-		if next.IsZero() || e.goneAt.Before(next) {
-			next = e.goneAt
+		if next.IsZero() || e.expiresAt.Before(next) {
+			next = e.expiresAt
 		}
 	}
 	return next
 }
 
-// Usable returns the replicas that may get new requests, by service, in order of ID.
-// Those of data centres that are out are left out.
-func (t *Table) Usable(out map[string]bool) map[string][]*Replica {
+// Usable returns the replicas that may receive new requests, by service, sorted by ID.
+// It excludes the replicas of disabled data centres.
+func (t *Table) Usable(disabled map[string]bool) map[string][]*Replica {
 	usable := make(map[string][]*Replica)
 	for _, e := range t.entries {
-		if e.removed || e.replica.Draining || out[e.replica.DataCentre] {
+		if e.removed || e.replica.Draining || disabled[e.replica.DataCentre] {
 			continue
 		}
 		r := e.replica
--- a/policy/registry/registry_test.go
+++ b/policy/registry/registry_test.go
@@ -15,16 +15,16 @@
 	return registry.Replica{ID: "r1", Incarnation: incarnation, Service: "timing", DataCentre: "a"}
 }
 
-func count(t *registry.Table, out ...string) int {
-	left := make(map[string]bool)
-	for _, name := range out {
-		left[name] = true
+func count(t *registry.Table, names ...string) int {
+	disabled := make(map[string]bool)
+	for _, name := range names {
+		disabled[name] = true
 	}
-	return len(t.Usable(left)["timing"])
+	return len(t.Usable(disabled)["timing"])
 }
 
-// News arrives out of order, since pages are read while a watch goes on: what is older
-// than what is known changes nothing, neither an entry nor its end.
+// Guards against an older record that restores or removes an entry. Records arrive out
+// of order, because pages are read while a watch runs.
 func TestOlderRecordIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	table := registry.NewTable()
@@ -34,7 +34,7 @@
 	c.Assert(table.Put(draining, 9), qt.IsTrue)
 	c.Assert(table.Put(replica(1), 7), qt.IsFalse)
 	c.Assert(count(table), qt.Equals, 0)
-	c.Assert(table.Put(replica(0), 10), qt.IsFalse, qt.Commentf("an earlier incarnation"))
+	c.Assert(table.Put(replica(0), 10), qt.IsFalse, qt.Commentf("record of an earlier incarnation"))
 	c.Assert(table.Put(replica(2), 11), qt.IsTrue)
 	c.Assert(table.Remove(now, "r1", 10, false), qt.IsFalse)
 	c.Assert(count(table), qt.Equals, 1)
@@ -43,7 +43,7 @@
 	c.Assert(count(table), qt.Equals, 0)
 }
 
-func TestUnreachableDataCentreHasNoUsableReplica(t *testing.T) {
+func TestDisabledDataCentreHasNoUsableReplica(t *testing.T) {
 	c := qt.New(t)
 	table := registry.NewTable()
 	table.Put(replica(1), 5)
@@ -51,8 +51,9 @@
 	c.Assert(count(table, "b"), qt.Equals, 1)
 }
 
-// An entry vanishes around an outage of the store. It stays usable for the grace, a
-// return ends the doubt, and the end of the grace is told once, by Expire alone.
+// Guards against a live replica that becomes unusable because its entry vanished during
+// an outage of the store. A new registration ends the grace period, and only Expire
+// removes the replica.
 func TestVanishedReplicaExpires(t *testing.T) {
 	c := qt.New(t)
 	table := registry.NewTable()
