--- a/policy/upstream/goodput_test.go
+++ b/policy/upstream/goodput_test.go
@@ -12,20 +12,20 @@
 	"github.com/carobmill/carobmill/policy/upstream"
 )
 
-// The shard of these tests: three replicas of two slots, one in each data centre, and
-// eight nodes that each have two places at a replica.
+// The shard of these tests has three replicas of two slots, one in each data centre.
+// Each of eight nodes may have two requests in flight at a replica.
 const (
-	shardReplicas  = 3
-	shardSlots     = 2
-	shardNodes     = 8
-	shardWork      = 11 * time.Millisecond
-	shardObjective = 88 * time.Millisecond
+	shardReplicas    = 3
+	shardSlots       = 2
+	shardNodes       = 8
+	shardServiceTime = 11 * time.Millisecond
+	shardObjective   = 88 * time.Millisecond
 )
 
-// shardCapacity is how many requests a second the shard can serve.
-const shardCapacity = shardReplicas * shardSlots * float64(time.Second) / float64(shardWork)
+// shardCapacity is the number of requests per second that the shard can serve.
+const shardCapacity = shardReplicas * shardSlots * float64(time.Second) / float64(shardServiceTime)
 
-// exchange is a request at a replica.
+// exchange is a request in flight at a replica.
 type exchange struct {
 	node   int
 	st     *upstream.State
@@ -34,32 +34,32 @@
 	ends   time.Duration
 }
 
-// byEnd orders exchanges by their end.
-type byEnd []*exchange
+// endHeap is a heap of exchanges ordered by their end.
+type endHeap []*exchange
 
-func (h byEnd) Len() int           { return len(h) }
-func (h byEnd) Less(i, j int) bool { return h[i].ends < h[j].ends }
-func (h byEnd) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h endHeap) Len() int           { return len(h) }
+func (h endHeap) Less(i, j int) bool { return h[i].ends < h[j].ends }
+func (h endHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (h *byEnd) Push(x any) { *h = append(*h, x.(*exchange)) }
+func (h *endHeap) Push(x any) { *h = append(*h, x.(*exchange)) }
 
 // Pop implements heap.Interface.
-func (h *byEnd) Pop() any {
+func (h *endHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// overloadedShard plays nodes that send requests to one shard in virtual time. Each slot of
-// a replica works on one request after the other, in the order in which they came.
+// overloadedShard simulates nodes that send requests to one shard in virtual time. Each
+// slot of a replica serves its requests one after the other, in order of arrival.
 type overloadedShard struct {
-	rng   *rand.Rand
-	start time.Time
-	at    time.Duration
-	sets  []*upstream.Balancer
-	free  [shardReplicas][shardSlots]time.Duration
-	out   byEnd
+	rng       *rand.Rand
+	start     time.Time
+	at        time.Duration
+	balancers []*upstream.Balancer
+	freeAt    [shardReplicas][shardSlots]time.Duration
+	inFlight  endHeap
 }
 
 func newOverloadedShard() *overloadedShard {
@@ -70,80 +70,80 @@
 		replicas = append(replicas, &registry.Replica{ID: name, Address: "10.0.0.1:80", DataCentre: name})
 	}
 	for range shardNodes {
-		set := upstream.NewBalancer(rand.New(rand.NewPCG(s.rng.Uint64(), 1)))
-		set.SetReplicas(replicas)
-		s.sets = append(s.sets, set)
+		balancer := upstream.NewBalancer(rand.New(rand.NewPCG(s.rng.Uint64(), 1)))
+		balancer.SetReplicas(replicas)
+		s.balancers = append(s.balancers, balancer)
 	}
 	return s
 }
 
-// play sends requests at a multiple of the shard's capacity and returns the share of it that
-// was answered inside the objective, and the share of requests that were.
-func (s *overloadedShard) play(load float64, length time.Duration) (goodput, inTime float64) {
-	asked, good := 0, 0
+// run sends requests at a multiple of the shard's capacity. It returns the requests that
+// were answered within the objective, as a fraction of the capacity and of all requests.
+func (s *overloadedShard) run(load float64, length time.Duration) (goodput, inTime float64) {
+	total, good := 0, 0
 	until := s.at + length
 	for s.at < until {
 		s.at += time.Duration(s.rng.ExpFloat64() * float64(time.Second) / (load * shardCapacity))
 		good += s.end(s.at)
-		asked++
+		total++
 		s.send(s.rng.IntN(shardNodes))
 	}
-	return float64(good) / (length.Seconds() * shardCapacity), float64(good) / float64(asked)
+	return float64(good) / (length.Seconds() * shardCapacity), float64(good) / float64(total)
 }
 
-// send sends a request of a node, unless no replica has room.
+// send sends a request of a node, unless no replica accepts it.
 func (s *overloadedShard) send(node int) {
 	now := s.start.Add(s.at)
 	q := upstream.Request{
 		Class: class, DataCentre: string(rune('0' + node%shardReplicas)), MaxInFlightPerReplica: 2, ColdPerSecond: -1,
 	}
-	st := s.sets[node].Pick(now, q)
+	st := s.balancers[node].Pick(now, q)
 	if st == nil {
 		return
 	}
 	replica := int(st.Replica.ID[0] - '0')
 	slot := 0
-	for i, free := range s.free[replica] {
-		if free < s.free[replica][slot] {
+	for i, freeAt := range s.freeAt[replica] {
+		if freeAt < s.freeAt[replica][slot] {
 			slot = i
 		}
 	}
-	work := time.Duration((0.5 + s.rng.Float64()) * float64(shardWork))
-	ends := max(s.at, s.free[replica][slot]) + work
-	s.free[replica][slot] = ends
-	handle := s.sets[node].RecordSent(now, st, q)
-	heap.Push(&s.out, &exchange{node: node, st: st, handle: handle, sent: s.at, ends: ends})
+	work := time.Duration((0.5 + s.rng.Float64()) * float64(shardServiceTime))
+	ends := max(s.at, s.freeAt[replica][slot]) + work
+	s.freeAt[replica][slot] = ends
+	handle := s.balancers[node].RecordSent(now, st, q)
+	heap.Push(&s.inFlight, &exchange{node: node, st: st, handle: handle, sent: s.at, ends: ends})
 }
 
-// end ends the exchanges that are over and returns how many were inside the objective.
+// end completes the exchanges that have ended and returns how many met the objective.
 func (s *overloadedShard) end(now time.Duration) (good int) {
-	for len(s.out) > 0 && s.out[0].ends <= now {
-		e := heap.Pop(&s.out).(*exchange)
+	for len(s.inFlight) > 0 && s.inFlight[0].ends <= now {
+		e := heap.Pop(&s.inFlight).(*exchange)
 		took := e.ends - e.sent
 		if took <= shardObjective {
 			good++
 		}
-		s.sets[e.node].Done(s.start.Add(e.ends), e.st, upstream.Sample{
+		s.balancers[e.node].Done(s.start.Add(e.ends), e.st, upstream.Sample{
 			Handle: e.handle, Class: class, Took: took, Result: upstream.Answered,
 		})
 	}
 	return good
 }
 
-// Callers ask for two and three times what a shard can serve. What it can serve is answered
-// inside the objective, and the rest is turned away at once: the nodes' places bound the
-// queue at each replica. When the load falls again, nothing of the overload remains.
+// Guards against goodput that collapses when the load exceeds a shard's capacity, and
+// against an overload that outlasts its load. The bound on requests in flight keeps the
+// queue at each replica short.
 func TestGoodputStaysLevelAboveAShardsCapacity(t *testing.T) {
 	c := qt.New(t)
 	s := newOverloadedShard()
-	_, inTime := s.play(0.5, 5*time.Second)
-	c.Assert(inTime >= 0.99, qt.IsTrue, qt.Commentf("%.3f in time at half of the capacity", inTime))
+	_, inTime := s.run(0.5, 5*time.Second)
+	c.Assert(inTime >= 0.99, qt.IsTrue, qt.Commentf("%.3f of the requests answered in time at half of the capacity", inTime))
 	for _, load := range []float64{1, 2, 3} {
-		goodput, _ := s.play(load, 5*time.Second)
+		goodput, _ := s.run(load, 5*time.Second)
 		t.Logf("%.0fx: %.3f of the capacity answered in time", load, goodput)
-		c.Assert(goodput >= 0.9, qt.IsTrue, qt.Commentf("%.3f of the capacity at %.0f times the load", goodput, load))
+		c.Assert(goodput >= 0.9, qt.IsTrue, qt.Commentf("%.3f of the capacity answered in time at %.0f times the capacity", goodput, load))
 	}
-	s.play(0.5, time.Second)
-	_, inTime = s.play(0.5, 5*time.Second)
-	c.Assert(inTime >= 0.99, qt.IsTrue, qt.Commentf("%.3f in time a second after the overload", inTime))
+	s.run(0.5, time.Second)
+	_, inTime = s.run(0.5, 5*time.Second)
+	c.Assert(inTime >= 0.99, qt.IsTrue, qt.Commentf("%.3f of the requests answered in time a second after the overload", inTime))
 }
--- a/policy/upstream/outcome.go
+++ b/policy/upstream/outcome.go
@@ -3,15 +3,16 @@
 import "time"
 
 const (
-	// failureWeight of a new outcome in a replica's failure rate, and the time in
-	// which half of that is forgotten.
-	failureWeight = 0.25
-	forgetFailure = 2 * time.Second
-	// restAfter is how many failures in a row make a replica rest that can be reached.
-	restAfter = 4
-	// minPause and maxPause bound how long a replica that fails rests.
-	minPause = 250 * time.Millisecond
-	maxPause = 3 * time.Second
+	// failureWeight is the weight of a new outcome in a replica's failure rate. Without
+	// new outcomes, the rate halves in failureHalfLife.
+	failureWeight   = 0.25
+	failureHalfLife = 2 * time.Second
+	// backoffAfter is the number of consecutive failures after which a reachable
+	// replica backs off.
+	backoffAfter = 4
+	// minBackoff and maxBackoff bound the backoff of a replica that fails.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 3 * time.Second
 )
 
 // Result is how an attempt at a replica ended.
@@ -19,19 +20,19 @@
 
 // Results of attempts.
 const (
-	// Answered: the replica gave a complete answer of success.
+	// Answered: the replica returned a complete, successful answer.
 	Answered Result = iota
-	// Refused: the replica stated that it did not run the request.
+	// Refused: the replica answered that it did not run the request.
 	Refused
-	// Failed: the replica answered with a failure of its own, or spoilt the answer.
+	// Failed: the replica answered with an error of its own or with an invalid answer.
 	Failed
-	// ConnectionLost: the connection was lost while the request was on it.
+	// ConnectionLost: the connection closed while the request was in flight.
 	ConnectionLost
 	// Unreachable: no connection could be opened.
 	Unreachable
-	// Abandoned: nobody waits for the answer any more.
+	// Abandoned: the node no longer waits for the answer.
 	Abandoned
-	// WrongReplica: another replica answered at the address, so that this one is gone.
+	// WrongReplica: another replica answered at the address, so this one has ended.
 	WrongReplica
 )
 
@@ -43,73 +44,76 @@
 	Result Result
 }
 
-// Done takes the end of an attempt.
-func (s *Balancer) Done(now time.Time, st *State, sample Sample) {
+// Done applies the end of an attempt.
+func (b *Balancer) Done(now time.Time, st *State, sample Sample) {
 	sent := st.remove(sample.Handle)
 	switch sample.Result {
 	case Answered:
-		s.observe(now, sent, st, sample)
-		st.failed(now, 0)
-		st.streak = 0
-		st.pauseUntil = time.Time{}
+		b.observe(now, sent, st, sample)
+		st.recordOutcome(now, 0)
+		st.failuresInRow = 0
+		st.backoffUntil = time.Time{}
 	case Refused:
-		st.failed(now, 1)
+		st.recordOutcome(now, 1)
 	case Failed, ConnectionLost:
-		// A replica that loses some of its answers still gives the others: it is
-		// avoided by its failure rate, and rests only when nothing else comes.
-		st.failed(now, 1)
-		st.rest(now, restAfter)
+		// A replica that loses some answers still returns others. Its failure rate
+		// raises its cost, and it backs off only after consecutive failures.
+		st.recordOutcome(now, 1)
+		st.backOff(now, backoffAfter)
 	case Unreachable:
-		st.failed(now, 1)
-		st.rest(now, 1)
+		st.recordOutcome(now, 1)
+		st.backOff(now, 1)
 	case WrongReplica:
-		st.gone = true
+		st.addressReused = true
 	case Abandoned:
-		// The answer took at least this long; a shorter wait tells nothing.
-		usual := s.BaselineLatency(sample.Class)
-		if sample.Took > time.Duration(stalledAfter*float64(usual)) {
-			st.slowness.observe(now, sent, float64(sample.Took)/float64(usual))
+		// The time is a lower bound of the latency, so only a long one counts.
+		baseline := b.BaselineLatency(sample.Class)
+		if sample.Took > time.Duration(stalledAfter*float64(baseline)) {
+			st.slowness.observe(now, sent, float64(sample.Took)/float64(baseline))
 		}
 	}
 }
 
-func (s *Balancer) observe(now, sent time.Time, st *State, sample Sample) {
-	u := s.usual[sample.Class]
-	if u == nil {
-		u = &usual{}
-		u.observe(now, sample.Took)
-		s.usual[sample.Class] = u
+func (b *Balancer) observe(now, sent time.Time, st *State, sample Sample) {
+	base := b.baselines[sample.Class]
+	if base == nil {
+		base = &baseline{}
+		base.observe(now, sample.Took)
+		b.baselines[sample.Class] = base
 	}
-	st.slowness.observe(now, sent, u.ratio(sample.Took))
+	st.slowness.observe(now, sent, base.ratio(sample.Took))
 	if !st.isCold(now) {
-		u.observe(now, sample.Took)
+		base.observe(now, sample.Took)
 	}
 }
 
-// rest pauses the replica once so many failures came in a row.
-func (st *State) rest(now time.Time, after int) {
-	st.streak++
-	if st.streak < after {
+// backOff counts a failure, and starts a backoff from the given number of consecutive
+// failures.
+func (st *State) backOff(now time.Time, after int) {
+	st.failuresInRow++
+	if st.failuresInRow < after {
 		return
 	}
-	pause := minPause << min(st.streak-after, 4)
-	st.pauseUntil = now.Add(min(pause, maxPause))
+	backoff := minBackoff << min(st.failuresInRow-after, 4)
+	st.backoffUntil = now.Add(min(backoff, maxBackoff))
 }
 
-func (st *State) failed(now time.Time, outcome float64) {
+// recordOutcome adds an outcome, 0 for a success and 1 for a failure, to the failure
+// rate.
+func (st *State) recordOutcome(now time.Time, outcome float64) {
 	st.failures = st.failureRate(now) + failureWeight*(outcome-st.failureRate(now))
 	st.failedAt = now
 }
 
 func (st *State) failureRate(now time.Time) float64 {
-	return st.failures * decay(now.Sub(st.failedAt), forgetFailure)
+	return st.failures * decay(now.Sub(st.failedAt), failureHalfLife)
 }
 
-// remove forgets an attempt that is out, and returns when it was sent.
+// remove deletes an attempt in flight and returns when it was sent.
 func (st *State) remove(handle uint64) (sent time.Time) {
-	for i, a := range st.out {
+	for i, a := range st.inFlight {
 		if a.id == handle {
-			st.out = append(st.out[:i], st.out[i+1:]...)
+			st.inFlight = append(st.inFlight[:i], st.inFlight[i+1:]...)
 			return a.sent
 		}
 	}
--- a/policy/upstream/slowness.go
+++ b/policy/upstream/slowness.go
@@ -3,43 +3,43 @@
 import "time"
 
 const (
-	// latencyWeight of a new sample in a replica's slowness.
-	latencyWeight = 0.3
-	// slowFrom is the multiple of the usual latency from which an answer counts as slow.
+	// slownessWeight is the weight of a new sample in a replica's slowness.
+	slownessWeight = 0.3
+	// slowFrom is the multiple of the baseline latency from which an answer is slow.
 	slowFrom = 2.0
-	// maxSlowness bounds what a single sample counts for, and maxFirstSlowness the first
-	// slow one after others: alone it is more often a pause than a slow replica, and must
-	// not outweigh the way to another data centre.
+	// maxSlowness bounds a single sample, and maxFirstSlowness the first slow one. A
+	// single slow answer is more often a pause than a slow replica, and must not cost
+	// more than a replica in another data centre.
 	maxSlowness      = 20
 	maxFirstSlowness = 5
 	minSlowness      = 0.3
-	// forgetSlowness is the time in which half of a replica's excess over normal is
-	// forgotten while it gets no requests, so that it is tried again.
-	forgetSlowness = 1500 * time.Millisecond
+	// slownessHalfLife applies to the deviation from the baseline while a replica
+	// receives no requests. Without the decay, a slow replica would never be tried again.
+	slownessHalfLife = 1500 * time.Millisecond
 )
 
-// slowness estimates how long a replica takes, as a multiple of the usual latency. Requests
-// that were out together at one pause count once: a short pause must not send requests to
-// another data centre for seconds. A replica that is slow shows it again with the next
-// request.
+// slowness estimates a replica's latency as a multiple of the baseline. Requests that
+// were in flight together when a slow answer arrived count once. Otherwise a short
+// pause would divert requests to another data centre for seconds. A slow replica is
+// still detected, because later requests are slow as well.
 type slowness struct {
-	factor float64
-	seen   time.Time
-	// slowAt is when the last slow answer came, and slowRun how many came in a row that
-	// were sent one after the other.
+	factor     float64
+	observedAt time.Time
+	// slowAt is when the last slow answer arrived. slowRun counts consecutive slow
+	// answers, each to a request sent after the previous slow answer.
 	slowAt  time.Time
 	slowRun int
 }
 
 func newSlowness() slowness { return slowness{factor: 1} }
 
-// at returns the estimate, which falls back to normal without samples.
+// at returns the estimate, which decays to 1 without samples.
 func (s *slowness) at(now time.Time) float64 {
-	return 1 + (s.factor-1)*decay(now.Sub(s.seen), forgetSlowness)
+	return 1 + (s.factor-1)*decay(now.Sub(s.observedAt), slownessHalfLife)
 }
 
-// observe takes the latency of a request that was sent at a time, as a multiple of the
-// usual one.
+// observe adds the latency of a request as a multiple of the baseline. sent is when
+// the request was sent.
 func (s *slowness) observe(now, sent time.Time, ratio float64) {
 	if ratio < slowFrom {
 		s.slowRun = 0
@@ -61,6 +61,6 @@
 
 func (s *slowness) add(now time.Time, ratio float64) {
 	current := s.at(now)
-	s.factor = max(current+latencyWeight*(ratio-current), minSlowness)
-	s.seen = now
+	s.factor = max(current+slownessWeight*(ratio-current), minSlowness)
+	s.observedAt = now
 }
--- a/policy/upstream/slowness_test.go
+++ b/policy/upstream/slowness_test.go
@@ -10,21 +10,21 @@
 	"github.com/carobmill/carobmill/policy/upstream"
 )
 
-// server is a backend server in virtual time: it works for usual on a request, and stands
-// still for pause at the start of each period.
+// server is a backend server in virtual time. It answers within latency, and stalls for
+// pause at the start of each period.
 type server struct {
-	usual, pause, period time.Duration
+	latency, pause, period time.Duration
 }
 
-// ends returns when it has answered a request that comes at a time.
+// ends returns when the server has answered a request that arrives at the given time.
 func (s server) ends(at time.Duration) time.Duration {
 	if s.period > 0 && at%s.period < s.pause {
 		at += s.pause - at%s.period
 	}
-	return at + s.usual
+	return at + s.latency
 }
 
-// pending is a request that is out.
+// pending is a request in flight.
 type pending struct {
 	st     *upstream.State
 	handle uint64
@@ -32,70 +32,70 @@
 	ends   time.Duration
 }
 
-// play sends a request each interval, and returns how many each replica got.
-func play(set *upstream.Balancer, start time.Time, servers map[string]server, every, length time.Duration) map[string]int {
-	got := make(map[string]int)
-	var out []pending
+// run sends a request at each interval and returns how many each replica received.
+func run(balancer *upstream.Balancer, start time.Time, servers map[string]server, every, length time.Duration) map[string]int {
+	received := make(map[string]int)
+	var inFlight []pending
 	for at := time.Duration(0); at < length; at += every {
-		left := out[:0]
-		for _, p := range out {
+		remaining := inFlight[:0]
+		for _, p := range inFlight {
 			if p.ends > at {
-				left = append(left, p)
+				remaining = append(remaining, p)
 				continue
 			}
-			set.Done(start.Add(p.ends), p.st, upstream.Sample{
+			balancer.Done(start.Add(p.ends), p.st, upstream.Sample{
 				Handle: p.handle, Class: class, Took: p.ends - p.sent, Result: upstream.Answered,
 			})
 		}
-		out = left
-		st := set.Pick(start.Add(at), request())
+		inFlight = remaining
+		st := balancer.Pick(start.Add(at), request())
 		if st == nil {
 			continue
 		}
-		got[st.Replica.ID]++
-		handle := set.RecordSent(start.Add(at), st, request())
-		out = append(out, pending{st: st, handle: handle, sent: at, ends: servers[st.Replica.ID].ends(at)})
+		received[st.Replica.ID]++
+		handle := balancer.RecordSent(start.Add(at), st, request())
+		inFlight = append(inFlight, pending{st: st, handle: handle, sent: at, ends: servers[st.Replica.ID].ends(at)})
 	}
-	return got
+	return received
 }
 
-// nearAndAway returns a set of a replica in this node's data centre and one in another.
-func nearAndAway() *upstream.Balancer {
-	set, replicas, _ := fleet(2)
-	away := *replicas[1]
-	away.DataCentre = "b"
-	set.SetReplicas([]*registry.Replica{replicas[0], &away})
-	return set
+// localAndRemote returns a balancer with a replica in this node's data centre and one in
+// another.
+func localAndRemote() *upstream.Balancer {
+	balancer, replicas, _ := newBalancer(2)
+	remote := *replicas[1]
+	remote.DataCentre = "b"
+	balancer.SetReplicas([]*registry.Replica{replicas[0], &remote})
+	return balancer
 }
 
-// The replica next door pauses for 120 ms every three seconds, with some requests out
-// each time. While it stands still others go to the data centre next to this one; as soon
-// as it answers again it is as fast as before, and gets them all.
+// Guards against a short pause of a local replica that diverts requests to another data
+// centre long after the pause.
 func TestShortPauseDivertsRequestsOnlyWhileItLasts(t *testing.T) {
 	c := qt.New(t)
-	const usual, pause, period = 11 * time.Millisecond, 120 * time.Millisecond, 3 * time.Second
+	const latency, pause, period = 11 * time.Millisecond, 120 * time.Millisecond, 3 * time.Second
 	servers := map[string]server{
-		"r0": {usual: usual, pause: pause, period: period},
-		"r1": {usual: usual},
+		"r0": {latency: latency, pause: pause, period: period},
+		"r1": {latency: latency},
 	}
-	got := play(nearAndAway(), time.Unix(1000, 0), servers, 10*time.Millisecond, time.Minute)
-	total := got["r0"] + got["r1"]
+	received := run(localAndRemote(), time.Unix(1000, 0), servers, 10*time.Millisecond, time.Minute)
+	total := received["r0"] + received["r1"]
 	// The pauses take 4% of the time.
-	c.Assert(got["r1"]*20 <= total, qt.IsTrue, qt.Commentf("%d of %d requests went away", got["r1"], total))
+	c.Assert(received["r1"]*20 <= total, qt.IsTrue, qt.Commentf("%d of %d requests went to the other data centre", received["r1"], total))
 }
 
-// The replica next door turns eight times slower and stays so. A few answers tell that this
-// is no pause, and nearly all requests go to the other data centre.
+// Guards against a local replica that keeps its requests although it is persistently
+// slower than the replica in another data centre.
 func TestSlowLocalReplicaLosesMostRequests(t *testing.T) {
 	c := qt.New(t)
-	const usual = 11 * time.Millisecond
-	set := nearAndAway()
-	fast := map[string]server{"r0": {usual: usual}, "r1": {usual: usual}}
+	const latency = 11 * time.Millisecond
+	balancer := localAndRemote()
+	fast := map[string]server{"r0": {latency: latency}, "r1": {latency: latency}}
 	start := time.Unix(1000, 0)
-	play(set, start, fast, 10*time.Millisecond, 5*time.Second)
-	slow := map[string]server{"r0": {usual: 8 * usual}, "r1": {usual: usual}}
-	got := play(set, start.Add(5*time.Second), slow, 10*time.Millisecond, 8*time.Second)
-	total := got["r0"] + got["r1"]
-	c.Assert(got["r0"]*10 <= total, qt.IsTrue, qt.Commentf("%d of %d requests went to the slow replica", got["r0"], total))
-	c.Assert(got["r0"] >= 1, qt.IsTrue)
+	run(balancer, start, fast, 10*time.Millisecond, 5*time.Second)
+	slow := map[string]server{"r0": {latency: 8 * latency}, "r1": {latency: latency}}
+	received := run(balancer, start.Add(5*time.Second), slow, 10*time.Millisecond, 8*time.Second)
+	total := received["r0"] + received["r1"]
+	c.Assert(received["r0"]*10 <= total, qt.IsTrue, qt.Commentf("%d of %d requests went to the slow replica", received["r0"], total))
+	c.Assert(received["r0"] >= 1, qt.IsTrue)
 }
--- a/policy/upstream/upstream.go
+++ b/policy/upstream/upstream.go
@@ -1,6 +1,6 @@
-// Package upstream chooses the replica of one service that a request goes to, from
-// what this node has seen of each: answers, latency, failures and requests that are
-// still out. Nothing in it does I/O or reads a clock.
+// Package upstream selects the replica of a service that receives a request. The
+// selection uses this node's observations of each replica: answers, latency, failures
+// and requests in flight. The package does no I/O and reads no clock.
 package upstream
 
 import (
@@ -11,114 +11,113 @@
 )
 
 const (
-	// failureCost is how much a failure costs in units of the usual latency: a
-	// retry and the wait before it, and a part of the extra-request budget.
+	// failureCost is the cost of a failure as a multiple of the baseline latency: a
+	// retry, the backoff before it, and a part of the budget for extra requests.
 	failureCost = 8
-	// stalledAfter is the multiple of a class's usual latency after which a
-	// request that is still out tells that its replica stands still.
+	// stalledAfter is the multiple of a class's baseline latency after which a request
+	// in flight indicates that its replica has stalled.
 	stalledAfter = 2.0
-	// queueCost is the share of the usual latency that each request in flight from
-	// this node adds.
+	// queueCost is the fraction of the baseline latency that each request in flight
+	// from this node adds.
 	queueCost = 0.5
-	// awayCost is added for a replica in another data centre, since bytes between data
-	// centres are dear. A replica next door that stands still, or has four requests of
-	// this node, costs more.
-	awayCost = 2.0
-	// crowdedFrom is the slowness from which a replica counts as having more to do than
-	// it can.
-	crowdedFrom = 3.0
-	// jitter spreads the choices of many nodes that see the same.
+	// remoteCost is added for a replica in another data centre, because traffic between
+	// data centres is expensive. It is less than the cost of a local replica that has
+	// stalled or has four requests of this node in flight.
+	remoteCost = 2.0
+	// overloadedFrom is the slowness from which a replica counts as overloaded.
+	overloadedFrom = 3.0
+	// jitter spreads the choices of nodes that have the same observations.
 	jitter = 0.25
-	// coldCost is how much slower a replica is expected to be while it is cold.
+	// coldCost is the minimum slowness assumed for a cold replica.
 	coldCost = 1.6
 )
 
-// State is what this node knows of one replica.
+// State holds this node's observations of one replica.
 type State struct {
 	Replica *registry.Replica
 
-	slowness   slowness
-	failures   float64
-	failedAt   time.Time
-	streak     int
-	pauseUntil time.Time
-	// gone is set once another replica answered at the address. The registry may not
-	// tell for as long as the store is away, and each further request there would
-	// arrive at a replica of another service and count against that one's budget for
-	// retries. Only a newer record of the replica ends it.
-	gone bool
-	out  []attempt
-	cold bucket
-}
-
-// attempt is a request that is out at a replica.
+	slowness      slowness
+	failures      float64
+	failedAt      time.Time
+	failuresInRow int
+	backoffUntil  time.Time
+	// addressReused is set once another replica answered at the address. The registry
+	// may list the old record as long as the store is unavailable. A further request
+	// would arrive at a replica of another service and use up that service's retry
+	// budget. Only a newer record of the replica clears it.
+	addressReused bool
+	inFlight      []attempt
+	coldRate      rateLimiter
+}
+
+// attempt is a request in flight at a replica.
 type attempt struct {
-	id    uint64
-	sent  time.Time
-	usual time.Duration
+	id       uint64
+	sent     time.Time
+	baseline time.Duration
 }
 
-// Balancer is what this node knows of one service. Not safe for concurrent use.
+// Balancer selects among the replicas of one service. Not safe for concurrent use.
 type Balancer struct {
-	rng    *rand.Rand
-	states map[string]*State
-	usable []*State
-	usual  map[string]*usual
-	nextID uint64
+	rng       *rand.Rand
+	states    map[string]*State
+	usable    []*State
+	baselines map[string]*baseline
+	nextID    uint64
 }
 
-// NewBalancer returns an empty set.
+// NewBalancer returns a balancer without replicas.
 func NewBalancer(rng *rand.Rand) *Balancer {
-	return &Balancer{rng: rng, states: make(map[string]*State), usual: make(map[string]*usual)}
+	return &Balancer{rng: rng, states: make(map[string]*State), baselines: make(map[string]*baseline)}
 }
 
-// SetReplicas replaces the usable replicas. What is known of those that stay is kept; a new
-// incarnation starts anew.
-func (s *Balancer) SetReplicas(replicas []*registry.Replica) {
+// SetReplicas replaces the usable replicas. The state of a replica that stays is kept;
+// a new incarnation or address starts with a new state.
+func (b *Balancer) SetReplicas(replicas []*registry.Replica) {
 	kept := make(map[string]*State, len(replicas))
-	s.usable = s.usable[:0]
+	b.usable = b.usable[:0]
 	for _, r := range replicas {
-		st := s.states[r.ID]
+		st := b.states[r.ID]
 		if st == nil || st.restarted(r) {
 			st = &State{slowness: newSlowness()}
 		}
 		st.Replica = r
 		kept[r.ID] = st
-		s.usable = append(s.usable, st)
+		b.usable = append(b.usable, st)
 	}
-	s.states = kept
+	b.states = kept
 }
 
-// restarted reports whether a record tells of another start of the replica than the
-// one that is known.
+// restarted reports whether the record belongs to another start of the replica than
+// the current one.
 func (st *State) restarted(r *registry.Replica) bool {
 	return st.Replica.Incarnation != r.Incarnation || st.Replica.Address != r.Address
 }
 
-// Request describes what a replica is chosen for.
+// Request describes the request for which a replica is selected.
 type Request struct {
-	// Class groups requests of like work.
+	// Class groups requests of similar cost.
 	Class string
 	// DataCentre of this node.
 	DataCentre string
-	// Tried replicas get no second attempt of the same request.
+	// Tried reports whether a replica had an attempt of this request before. Such a
+	// replica is not selected; may be nil.
 	Tried func(id string) bool
-	// Unreachable data centres get nothing; may be nil.
+	// Unreachable data centres are excluded; may be nil.
 	Unreachable map[string]bool
-	// MaxInFlightPerReplica is how many requests this node may have out at one replica.
+	// MaxInFlightPerReplica bounds this node's requests in flight at one replica.
 	MaxInFlightPerReplica int
-	// ColdPerSecond is this node's part of the rate that a cold replica bears;
-	// negative when there is no bound.
+	// ColdPerSecond is this node's part of the rate that a cold replica can serve;
+	// negative for no bound.
 	ColdPerSecond float64
-	// Optional is set for a request that need not be sent: it goes to no replica that
-	// rests, is cold or stands still.
+	// Optional is set for a request that is not required, such as a hedge. Such a
+	// request goes to no replica that backs off, is cold or has stalled.
 	Optional bool
 }
 
-// bears reports whether the replica may get one more request now. A request that need
-// not be sent goes to none that is cold or at a standstill.
-func (st *State) bears(now time.Time, q Request) bool {
-	if len(st.out) >= st.room(now, q) {
+// accepts reports whether the replica may receive one more request now.
+func (st *State) accepts(now time.Time, q Request) bool {
+	if len(st.inFlight) >= st.maxInFlight(now, q) {
 		return false
 	}
 	if q.Optional && st.stalled(now) {
@@ -127,45 +126,45 @@
 	if q.ColdPerSecond < 0 || !st.isCold(now) {
 		return true
 	}
-	return !q.Optional && st.cold.has(now, q.ColdPerSecond)
+	return !q.Optional && st.coldRate.allows(now, q.ColdPerSecond)
 }
 
-// Pick returns the replica expected to answer first, or nil when none may be used.
-// Replicas that rest after failures come last: one of them is tried when no other is
-// left, since a request that may fail is better than one that is given up.
-func (s *Balancer) Pick(now time.Time, q Request) *State {
-	var best, resting *State
+// Pick returns the replica with the lowest expected cost, or nil if none may be used. If
+// every other replica is excluded, Pick returns the one whose backoff ends first, since a
+// request that may fail is better than none.
+func (b *Balancer) Pick(now time.Time, q Request) *State {
+	var best, fallback *State
 	var bestCost float64
-	var restingUntil time.Time
-	for _, st := range s.usable {
-		if st.gone || q.Unreachable[st.Replica.DataCentre] || q.Tried != nil && q.Tried(st.Replica.ID) {
+	var fallbackUntil time.Time
+	for _, st := range b.usable {
+		if st.addressReused || q.Unreachable[st.Replica.DataCentre] || q.Tried != nil && q.Tried(st.Replica.ID) {
 			continue
 		}
-		if !st.bears(now, q) {
+		if !st.accepts(now, q) {
 			continue
 		}
-		if now.Before(st.pauseUntil) {
-			if !q.Optional && (resting == nil || st.pauseUntil.Before(restingUntil)) && len(st.out) == 0 {
-				resting, restingUntil = st, st.pauseUntil
+		if now.Before(st.backoffUntil) {
+			if !q.Optional && (fallback == nil || st.backoffUntil.Before(fallbackUntil)) && len(st.inFlight) == 0 {
+				fallback, fallbackUntil = st, st.backoffUntil
 			}
 			continue
 		}
-		cost := s.cost(now, st, q)
+		cost := b.cost(now, st, q)
 		if best == nil || cost < bestCost {
 			best, bestCost = st, cost
 		}
 	}
 	if best == nil {
-		best = resting
+		best = fallback
 	}
 	return best
 }
 
-// room is how many requests of this node the replica may have out. Half of the places at a
-// replica that takes several times the usual keep its queue inside the objective while
-// callers ask for more than it can serve; the rest is refused at once.
-func (st *State) room(now time.Time, q Request) int {
-	if st.slowness.at(now) < crowdedFrom {
+// maxInFlight bounds this node's requests in flight at the replica. An overloaded
+// replica gets half of the bound. Its queue then stays within the latency objective, and
+// the excess requests are refused at once.
+func (st *State) maxInFlight(now time.Time, q Request) int {
+	if st.slowness.at(now) < overloadedFrom {
 		return q.MaxInFlightPerReplica
 	}
 	return (q.MaxInFlightPerReplica + 1) / 2
@@ -175,40 +174,41 @@
 	return now.Before(st.Replica.ColdUntil)
 }
 
-// cost estimates the latency at a replica in units of the class's usual one.
-func (s *Balancer) cost(now time.Time, st *State, q Request) float64 {
+// cost estimates the cost of a request at a replica as a multiple of the baseline
+// latency.
+func (b *Balancer) cost(now time.Time, st *State, q Request) float64 {
 	slow := st.slowness.at(now)
 	if st.isCold(now) {
 		slow = max(slow, coldCost)
 	}
-	cost := slow * (1 + queueCost*float64(len(st.out)))
-	for _, a := range st.out {
-		if age := float64(now.Sub(a.sent)) / float64(a.usual); age > stalledAfter {
+	cost := slow * (1 + queueCost*float64(len(st.inFlight)))
+	for _, a := range st.inFlight {
+		if age := float64(now.Sub(a.sent)) / float64(a.baseline); age > stalledAfter {
 			cost += age
 		}
 	}
 	cost += failureCost * st.failureRate(now)
 	if st.Replica.DataCentre != q.DataCentre {
-		cost += awayCost
+		cost += remoteCost
 	}
-	return cost * (1 + jitter*(s.rng.Float64()-0.5))
+	return cost * (1 + jitter*(b.rng.Float64()-0.5))
 }
 
-// stalled reports whether a request has been out for so long that the replica stands
-// still or is gone.
+// stalled reports whether a request has been in flight for so long that the replica has
+// stalled or ended.
 func (st *State) stalled(now time.Time) bool {
-	for _, a := range st.out {
-		if now.Sub(a.sent) > time.Duration(2*stalledAfter*float64(a.usual)) {
+	for _, a := range st.inFlight {
+		if now.Sub(a.sent) > time.Duration(2*stalledAfter*float64(a.baseline)) {
 			return true
 		}
 	}
 	return false
 }
 
-// ForEachPending calls f for each attempt that has been out for longer than age.
-func (s *Balancer) ForEachPending(now time.Time, age time.Duration, f func(r *registry.Replica)) {
-	for _, st := range s.usable {
-		for _, a := range st.out {
+// ForEachPending calls f for each attempt that has been in flight for longer than age.
+func (b *Balancer) ForEachPending(now time.Time, age time.Duration, f func(r *registry.Replica)) {
+	for _, st := range b.usable {
+		for _, a := range st.inFlight {
 			if now.Sub(a.sent) > age {
 				f(st.Replica)
 			}
@@ -216,26 +216,26 @@
 	}
 }
 
-// BaselineLatency returns the usual latency of a class at this service.
-func (s *Balancer) BaselineLatency(class string) time.Duration {
-	if u := s.usual[class]; u != nil {
-		return max(u.latency, minUsual)
+// BaselineLatency returns the latency of a class at this service without overload.
+func (b *Balancer) BaselineLatency(class string) time.Duration {
+	if base := b.baselines[class]; base != nil {
+		return max(base.latency, minBaseline)
 	}
-	return defaultUsual
+	return defaultBaseline
 }
 
-// RecordSent counts a request that goes to the picked replica and returns its handle for
-// Done or UndoSent.
-func (s *Balancer) RecordSent(now time.Time, st *State, q Request) uint64 {
-	s.nextID++
-	st.out = append(st.out, attempt{id: s.nextID, sent: now, usual: s.BaselineLatency(q.Class)})
+// RecordSent records an attempt at the picked replica and returns its handle for Done or
+// UndoSent.
+func (b *Balancer) RecordSent(now time.Time, st *State, q Request) uint64 {
+	b.nextID++
+	st.inFlight = append(st.inFlight, attempt{id: b.nextID, sent: now, baseline: b.BaselineLatency(q.Class)})
 	if st.isCold(now) && q.ColdPerSecond >= 0 {
-		st.cold.take(now, q.ColdPerSecond)
+		st.coldRate.take(now, q.ColdPerSecond)
 	}
-	return s.nextID
+	return b.nextID
 }
 
-// UndoSent takes a request back that was not sent after all.
-func (s *Balancer) UndoSent(st *State, handle uint64) {
+// UndoSent removes a recorded attempt that was not sent.
+func (b *Balancer) UndoSent(st *State, handle uint64) {
 	st.remove(handle)
 }
--- a/policy/upstream/upstream_test.go
+++ b/policy/upstream/upstream_test.go
@@ -13,122 +13,119 @@
 
 const class = "standings"
 
-// fleet returns a set of n replicas r0, r1 and so on, and its clock.
-func fleet(n int) (*upstream.Balancer, []*registry.Replica, time.Time) {
-	set := upstream.NewBalancer(rand.New(rand.NewPCG(1, 2)))
+// newBalancer returns a balancer with n replicas r0, r1 and so on, and the start time.
+func newBalancer(n int) (*upstream.Balancer, []*registry.Replica, time.Time) {
+	balancer := upstream.NewBalancer(rand.New(rand.NewPCG(1, 2)))
 	var replicas []*registry.Replica
 	for i := range n {
 		replicas = append(replicas, &registry.Replica{ID: "r" + string(rune('0'+i)), Address: "10.0.0.1:80", DataCentre: "a"})
 	}
-	set.SetReplicas(replicas)
-	return set, replicas, time.Unix(1000, 0)
+	balancer.SetReplicas(replicas)
+	return balancer, replicas, time.Unix(1000, 0)
 }
 
 func request() upstream.Request {
 	return upstream.Request{Class: class, DataCentre: "a", MaxInFlightPerReplica: 3, ColdPerSecond: -1}
 }
 
-// serve sends one request and ends it.
-func serve(set *upstream.Balancer, now time.Time, q upstream.Request, took time.Duration, result upstream.Result) string {
-	st := set.Pick(now, q)
+// sendOne sends one request, ends it, and returns the replica's ID.
+func sendOne(balancer *upstream.Balancer, now time.Time, q upstream.Request, took time.Duration, result upstream.Result) string {
+	st := balancer.Pick(now, q)
 	if st == nil {
 		return ""
 	}
-	handle := set.RecordSent(now, st, q)
-	set.Done(now.Add(took), st, upstream.Sample{Handle: handle, Class: class, Took: took, Result: result})
+	handle := balancer.RecordSent(now, st, q)
+	balancer.Done(now.Add(took), st, upstream.Sample{Handle: handle, Class: class, Took: took, Result: result})
 	return st.Replica.ID
 }
 
-// A replica ends and its address goes to a replica of another service while the store
-// is away, so that no news tells of it. Every request sent there arrives at the other
-// service and counts against that one's budget for retries. One answer from another
-// replica is proof enough: nothing more goes there until the replica registers anew.
+// Guards against requests to an address that another service reuses while the store is
+// unavailable. They would use up the retry budget of that service. After one answer from
+// another replica, the replica is unusable until it registers again.
 func TestReplicaWhoseAddressWasReusedGetsNothingMore(t *testing.T) {
 	c := qt.New(t)
-	set, replicas, now := fleet(1)
-	c.Assert(serve(set, now, request(), time.Millisecond, upstream.WrongReplica), qt.Equals, "r0")
+	balancer, replicas, now := newBalancer(1)
+	c.Assert(sendOne(balancer, now, request(), time.Millisecond, upstream.WrongReplica), qt.Equals, "r0")
 	for range 100 {
 		now = now.Add(time.Second)
-		c.Assert(set.Pick(now, request()), qt.IsNil)
+		c.Assert(balancer.Pick(now, request()), qt.IsNil)
 	}
-	set.SetReplicas(replicas)
-	c.Assert(set.Pick(now, request()), qt.IsNil)
-	again := *replicas[0]
-	again.Incarnation++
-	set.SetReplicas([]*registry.Replica{&again})
-	c.Assert(set.Pick(now, request()), qt.IsNotNil)
+	balancer.SetReplicas(replicas)
+	c.Assert(balancer.Pick(now, request()), qt.IsNil)
+	restarted := *replicas[0]
+	restarted.Incarnation++
+	balancer.SetReplicas([]*registry.Replica{&restarted})
+	c.Assert(balancer.Pick(now, request()), qt.IsNotNil)
 }
 
-// A third of the replicas turn eight times slower. Callers whose requests go there
-// miss their objective; the node learns it from a few answers, sends the rest
-// elsewhere, and tries the slow ones again only now and then.
+// Guards against a slow replica that receives its full share of requests, and against one
+// that is never tried again.
 func TestSlowReplicaReceivesOnlyOccasionalRequests(t *testing.T) {
 	c := qt.New(t)
-	set, _, now := fleet(3)
-	const usual = 15 * time.Millisecond
+	balancer, _, now := newBalancer(3)
+	const baseline = 15 * time.Millisecond
 	for range 200 {
 		now = now.Add(50 * time.Millisecond)
-		serve(set, now, request(), usual, upstream.Answered)
+		sendOne(balancer, now, request(), baseline, upstream.Answered)
 	}
 	slow := 0
 	for range 160 {
 		now = now.Add(50 * time.Millisecond)
-		st := set.Pick(now, request())
-		took := usual
+		st := balancer.Pick(now, request())
+		took := baseline
 		if st.Replica.ID == "r1" {
-			took = 8 * usual
+			took = 8 * baseline
 			slow++
 		}
-		handle := set.RecordSent(now, st, request())
-		set.Done(now.Add(took), st, upstream.Sample{Handle: handle, Class: class, Took: took, Result: upstream.Answered})
+		handle := balancer.RecordSent(now, st, request())
+		balancer.Done(now.Add(took), st, upstream.Sample{Handle: handle, Class: class, Took: took, Result: upstream.Answered})
 	}
 	c.Assert(slow <= 8, qt.IsTrue, qt.Commentf("%d of 160 requests went to the slow replica", slow))
 	c.Assert(slow >= 1, qt.IsTrue)
 }
 
-// A replica stands still with a request out: further ones would wait as long. It gets
-// no more until it answers, although no failure is known yet.
+// Guards against further requests to a replica that has stalled with a request in flight,
+// before any failure is recorded.
 func TestStalledReplicaReceivesNoSecondRequest(t *testing.T) {
 	c := qt.New(t)
-	set, _, now := fleet(3)
+	balancer, _, now := newBalancer(3)
 	for range 50 {
 		now = now.Add(20 * time.Millisecond)
-		serve(set, now, request(), 15*time.Millisecond, upstream.Answered)
+		sendOne(balancer, now, request(), 15*time.Millisecond, upstream.Answered)
 	}
-	stuck := set.Pick(now, request())
-	set.RecordSent(now, stuck, request())
+	stalled := balancer.Pick(now, request())
+	balancer.RecordSent(now, stalled, request())
 	now = now.Add(100 * time.Millisecond)
 	for range 50 {
-		c.Assert(serve(set, now, request(), 15*time.Millisecond, upstream.Answered), qt.Not(qt.Equals), stuck.Replica.ID)
+		c.Assert(sendOne(balancer, now, request(), 15*time.Millisecond, upstream.Answered), qt.Not(qt.Equals), stalled.Replica.ID)
 	}
 }
 
-// A cold replica bears a few requests a second from the whole fleet. This node's part
-// is kept, hedges do not use it up, and a warm one gets the rest.
+// Guards against a cold replica that receives requests at more than this node's part of
+// its rate, or at much less.
 func TestColdReplicaGetsNoMoreThanItsRate(t *testing.T) {
 	c := qt.New(t)
-	set, replicas, now := fleet(1)
+	balancer, replicas, now := newBalancer(1)
 	cold := *replicas[0]
 	cold.ColdUntil = now.Add(10 * time.Second)
-	set.SetReplicas([]*registry.Replica{&cold})
+	balancer.SetReplicas([]*registry.Replica{&cold})
 	q := request()
 	q.ColdPerSecond = 2
 	sent := 0
 	for range 1000 {
 		now = now.Add(10 * time.Millisecond)
-		if serve(set, now, q, time.Millisecond, upstream.Answered) != "" && now.Before(cold.ColdUntil) {
+		if sendOne(balancer, now, q, time.Millisecond, upstream.Answered) != "" && now.Before(cold.ColdUntil) {
 			sent++
 		}
 	}
 	c.Assert(sent >= 18 && sent <= 21, qt.IsTrue, qt.Commentf("%d requests in ten seconds", sent))
 }
 
-// Most replicas of a shard lose some of their answers: each loss breaks a connection.
-// They still give the other answers, so none of them may be taken out; a shard whose
-// replicas all rest is lost to every query.
+// Guards against a shard without a usable replica because every replica closes some
+// connections before it answers.
 func TestReplicasThatLoseSomeAnswersStayInUse(t *testing.T) {
 	c := qt.New(t)
-	set, _, now := fleet(3)
+	balancer, _, now := newBalancer(3)
 	rng := rand.New(rand.NewPCG(3, 4))
 	for range 500 {
 		now = now.Add(20 * time.Millisecond)
@@ -136,25 +133,25 @@
 		if rng.Float64() < 0.4 {
 			result = upstream.ConnectionLost
 		}
-		c.Assert(serve(set, now, request(), 15*time.Millisecond, result), qt.Not(qt.Equals), "")
+		c.Assert(sendOne(balancer, now, request(), 15*time.Millisecond, result), qt.Not(qt.Equals), "")
 	}
 }
 
-// One of three replicas refuses most requests although it is well by its own word. The
-// others get nearly all, since each refusal costs a retry out of the service's budget.
+// Guards against a replica that refuses requests and uses up the service's retry budget,
+// although it reports itself healthy.
 func TestReplicaThatRefusesGetsFewRequests(t *testing.T) {
 	c := qt.New(t)
-	set, _, now := fleet(3)
+	balancer, _, now := newBalancer(3)
 	refused := 0
 	for range 500 {
 		now = now.Add(20 * time.Millisecond)
-		st := set.Pick(now, request())
-		sample := upstream.Sample{Handle: set.RecordSent(now, st, request()), Class: class, Took: 15 * time.Millisecond}
+		st := balancer.Pick(now, request())
+		sample := upstream.Sample{Handle: balancer.RecordSent(now, st, request()), Class: class, Took: 15 * time.Millisecond}
 		if st.Replica.ID == "r2" {
 			sample.Result, sample.Took = upstream.Refused, time.Millisecond
 			refused++
 		}
-		set.Done(now, st, sample)
+		balancer.Done(now, st, sample)
 	}
 	c.Assert(refused <= 25, qt.IsTrue, qt.Commentf("%d of 500 requests went to the replica that refuses", refused))
 }
