--- a/policy/limit/limit_test.go
+++ b/policy/limit/limit_test.go
@@ -86,8 +86,8 @@
 	c.Assert(o.State(), qt.Equals, pb.ReplicaState_REPLICA_STATE_WARM)
 }
 
-// Guards against a limit that grows while a replica without peers is still warming
-// up. Its falling latency shows that.
+// Guards against a limit that grows while the latency of a replica without peers still
+// falls, which shows that the replica is warming up.
 func TestLimitGrowsWithoutPeersOnceLatencyIsSteady(t *testing.T) {
 	c := qt.New(t)
 	o := newOwner(true)
--- a/policy/registry/registry.go
+++ b/policy/registry/registry.go
@@ -27,17 +27,18 @@
 	ColdUntil time.Time
 }
 
-// VanishedGrace is how long a replica stays usable whose entry vanished because of an
-// outage of the store. Entries expire while the store cannot be reached. By the platform's
-// contract, live replicas register again within two seconds after the outage. The grace
-// is shorter than the time for which a removed replica still serves.
+// VanishedGrace is how long a replica stays usable after its entry was removed during or
+// right after an outage of the store. Entries expire while the store cannot be reached. By
+// the platform's contract, live replicas register again within two seconds after the
+// outage. The grace period is shorter than the time for which a removed replica still
+// serves.
 const VanishedGrace = 2 * time.Second
 
 // entry is the newest record of one replica.
 type entry struct {
 	replica  Replica
 	revision uint64
-	// expiresAt is when a vanished entry is removed; the zero time while it is listed.
+	// expiresAt is the end of the grace period of a vanished entry, else the zero time.
 	expiresAt time.Time
 	// removed entries keep their revision, so that an older record does not restore
 	// them.
--- a/policy/retrybudget/retrybudget.go
+++ b/policy/retrybudget/retrybudget.go
@@ -17,21 +17,22 @@
 }
 
 const (
-	// bucketCount is the number of buckets in a window. Extra requests are counted over one
-	// bucket more than requests, so that the bound holds in every sliding window, not
-	// only in those that start at a bucket.
+	// bucketCount is the number of buckets in a window. Extra requests are counted over
+	// one bucket more than the window, and requests over one less. So the bound also
+	// holds in windows that do not start at the start of a bucket.
 	bucketCount = 20
-	// ratioMargin is the fraction of the ratio that nodes use. The remainder covers requests
-	// that were counted although their callers had already left.
+	// ratioMargin is the fraction of the ratio that nodes use. The remainder covers
+	// requests that were counted although their callers had already left.
 	ratioMargin = 0.9
 	// slackMargin is the fraction of the slack that nodes use. The remainder covers
 	// nodes that joined but are not in every node's fleet size yet.
 	slackMargin = 0.72
-	// initialSlackShare is the fraction of a node's slack that is available at its start. The
-	// remainder becomes available over the first window.
+	// initialSlackShare is the fraction of a node's slack that is available at its start.
+	// The remainder becomes available over the first window.
 	initialSlackShare = 0.6
-	// optionalShare is the fraction of a node's budget that hedges may use. Without it,
-	// hedges could leave no budget for retries, without which a request fails.
+	// optionalShare is the fraction of a node's budget that hedges may use. Otherwise
+	// hedges, which only reduce latency, could leave no budget for retries when replicas
+	// lose answers.
 	optionalShare = 0.6
 )
 
--- a/policy/upstream/upstream.go
+++ b/policy/upstream/upstream.go
@@ -36,7 +36,8 @@
 type State struct {
 	Replica *registry.Replica
 
-	slowness      slowness
+	slowness slowness
+	// failures is the failure rate at failedAt.
 	failures      float64
 	failedAt      time.Time
 	failuresInRow int
