--- a/node/directory/directory.go
+++ b/node/directory/directory.go
@@ -20,8 +20,8 @@
 	// that one that does so for a moment does not shrink the others' parts of the fleet's
 	// budgets for as long as a vanished node counts.
 	RegisterAfter time.Duration
-	// NewsBound is the time within which news has to take effect; 0 for no bound.
-	NewsBound time.Duration
+	// UpdateBound is the time within which news has to take effect; 0 for no bound.
+	UpdateBound time.Duration
 	// Changed is called with each new view, one at a time; may be nil.
 	Changed func(*View)
 }
@@ -91,16 +91,16 @@
 	return since != nil && time.Since(*since) > staleAfter
 }
 
-// RelyOn notes that another node relies on what this one knows. Its store may be in reach
+// MarkReliedOn notes that another node relies on what this one knows. Its store may be in reach
 // when this one's has gone silent, and it must not miss news for that.
-func (d *Directory) RelyOn() {
+func (d *Directory) MarkReliedOn() {
 	now := time.Now()
 	d.reliedOn.Store(&now)
 }
 
-// Hurry asks the store at once instead of pausing between two watches, for a node that
+// PollNow asks the store at once instead of pausing between two watches, for a node that
 // has heard of a newer version.
-func (d *Directory) Hurry() {
+func (d *Directory) PollNow() {
 	select {
 	case d.hurry <- struct{}{}:
 	default:
@@ -113,8 +113,8 @@
 // Fleet returns the registered nodes that are known.
 func (d *Directory) Fleet() coordinator.Fleet { return *d.fleet.Load() }
 
-// Registered asks the store for the registered nodes. The answer may be seconds old.
-func (d *Directory) Registered(ctx context.Context) (coordinator.Fleet, error) {
+// RegisteredNodes asks the store for the registered nodes. The answer may be seconds old.
+func (d *Directory) RegisteredNodes(ctx context.Context) (coordinator.Fleet, error) {
 	page, err := d.opts.Store.Nodes(ctx)
 	if err != nil {
 		return coordinator.Fleet{}, err
@@ -167,8 +167,8 @@
 }
 
 func (d *Directory) take(now time.Time, r Record) bool {
-	if r.Fault != nil {
-		d.opts.Log.WithError(r.Fault).WithFields(logrus.Fields{
+	if r.DecodeError != nil {
+		d.opts.Log.WithError(r.DecodeError).WithFields(logrus.Fields{
 			"record": r.Name, "revision": r.Revision,
 		}).Warn("a record cannot be read: passed over")
 	}
--- a/node/directory/directory_test.go
+++ b/node/directory/directory_test.go
@@ -86,7 +86,7 @@
 			continue
 		}
 		if s.pageSize > 0 && len(page.Records) == s.pageSize {
-			page.More = page.Records[len(page.Records)-1].Name
+			page.NextCursor = page.Records[len(page.Records)-1].Name
 			break
 		}
 		page.Records = append(page.Records, s.items[name])
@@ -135,12 +135,12 @@
 	return s.Read(ctx, "")
 }
 
-func (s *storeFake) Announce(context.Context, coordinator.Member, time.Duration) (uint64, error) {
+func (s *storeFake) Register(context.Context, coordinator.Member, time.Duration) (uint64, error) {
 	return 1, nil
 }
 
-func (s *storeFake) Renew(context.Context, uint64) error    { return nil }
-func (s *storeFake) Withdraw(context.Context, uint64) error { return nil }
+func (s *storeFake) Renew(context.Context, uint64) error  { return nil }
+func (s *storeFake) Revoke(context.Context, uint64) error { return nil }
 
 func configuration(version uint64) directory.Record {
 	return directory.Record{
@@ -175,7 +175,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	d := directory.New(directory.Options{
-		Store: s, Node: coordinator.Member{Node: "n1", Capacity: 1}, Log: log, NewsBound: newsBound, Changed: changed,
+		Store: s, Node: coordinator.Member{Node: "n1", Capacity: 1}, Log: log, UpdateBound: newsBound, Changed: changed,
 	})
 	d.Follow(true)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -317,7 +317,7 @@
 		s.put(configuration(1))
 		d := follow(t, s)
 		for range 50 {
-			d.RelyOn()
+			d.MarkReliedOn()
 			time.Sleep(100 * time.Millisecond)
 		}
 		c.Assert(d.Stale(), qt.IsFalse)
@@ -327,7 +327,7 @@
 		s.set(func() { s.silent = true })
 		noticed := time.Duration(0)
 		for began := time.Now(); !d.Stale(); noticed = time.Since(began) {
-			d.RelyOn()
+			d.MarkReliedOn()
 			time.Sleep(10 * time.Millisecond)
 		}
 		c.Assert(noticed <= newsBound-500*time.Millisecond, qt.IsTrue, qt.Commentf("after %s", noticed))
--- a/node/directory/read.go
+++ b/node/directory/read.go
@@ -36,7 +36,7 @@
 			listed[r.Area][r.Name] = true
 			changed = d.take(now, r) || changed
 		}
-		after = page.More
+		after = page.NextCursor
 	}
 	changed = d.keep(listed, first) || changed
 	// Pages are no snapshot: the watch goes on from the first of them, and what it
--- a/node/directory/register.go
+++ b/node/directory/register.go
@@ -41,7 +41,7 @@
 	}
 	ending, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	if err := d.opts.Store.Withdraw(ending, lease); err != nil {
+	if err := d.opts.Store.Revoke(ending, lease); err != nil {
 		d.opts.Log.WithError(err).Info("the registration was not withdrawn: it lapses by itself")
 	}
 }
@@ -58,7 +58,7 @@
 			return lease
 		}
 	}
-	lease, err := d.opts.Store.Announce(ctx, d.opts.Node, registrationTTL)
+	lease, err := d.opts.Store.Register(ctx, d.opts.Node, registrationTTL)
 	if err != nil && ctx.Err() == nil {
 		d.opts.Log.WithError(err).Info("the node is not registered yet")
 	}
--- a/node/directory/store.go
+++ b/node/directory/store.go
@@ -41,16 +41,16 @@
 	Name     string
 	Revision uint64
 	Removed  bool
-	// Fault tells why a value could not be read. It names no replica to use.
-	Fault error
+	// DecodeError tells why a value could not be read. It names no replica to use.
+	DecodeError error
 
 	Configuration *route.Configuration
 	Replica       *registry.Replica
-	// ColdLeft of the replica when the record was written.
-	ColdLeft time.Duration
-	// DataCentreOut names a data centre that must get nothing.
-	DataCentreOut string
-	Node          *coordinator.Member
+	// ColdRemaining of the replica when the record was written.
+	ColdRemaining time.Duration
+	// ExcludedDataCentre names a data centre that must get nothing.
+	ExcludedDataCentre string
+	Node               *coordinator.Member
 }
 
 // Page is a part of an area, or what has changed.
@@ -58,8 +58,8 @@
 	Records []Record
 	// Revision of the store that the page reflects.
 	Revision uint64
-	// More is the mark to go on after; empty on the last page.
-	More string
+	// NextCursor is the mark to go on after; empty on the last page.
+	NextCursor string
 }
 
 // Store is the platform's store, in terms of the product. Implementations translate
@@ -73,10 +73,10 @@
 	// Nodes returns the registered nodes; the answer may be seconds old, and costs a
 	// tenth of another reading.
 	Nodes(ctx context.Context) (Page, error)
-	// Announce registers a node under a new lease.
-	Announce(ctx context.Context, node coordinator.Member, ttl time.Duration) (lease uint64, err error)
+	// Register registers a node under a new lease.
+	Register(ctx context.Context, node coordinator.Member, ttl time.Duration) (lease uint64, err error)
 	// Renew keeps a lease.
 	Renew(ctx context.Context, lease uint64) error
-	// Withdraw ends a lease and what is registered under it.
-	Withdraw(ctx context.Context, lease uint64) error
+	// Revoke ends a lease and what is registered under it.
+	Revoke(ctx context.Context, lease uint64) error
 }
--- a/node/directory/view.go
+++ b/node/directory/view.go
@@ -76,8 +76,8 @@
 		return s.replicas.Remove(now, r.Name, r.Revision, false)
 	}
 	replica := *r.Replica
-	if r.ColdLeft > 0 {
-		replica.ColdUntil = now.Add(r.ColdLeft)
+	if r.ColdRemaining > 0 {
+		replica.ColdUntil = now.Add(r.ColdRemaining)
 	}
 	return s.replicas.Put(replica, r.Revision)
 }
@@ -108,12 +108,12 @@
 		delete(s.out, r.Name)
 		return was
 	}
-	if r.DataCentreOut == "" {
+	if r.ExcludedDataCentre == "" {
 		return false
 	}
 	s.outRevisions[r.Name] = r.Revision
 	_, was := s.out[r.Name]
-	s.out[r.Name] = r.DataCentreOut
+	s.out[r.Name] = r.ExcludedDataCentre
 	return !was
 }
 
--- a/node/directory/watch.go
+++ b/node/directory/watch.go
@@ -77,8 +77,8 @@
 	}
 	last := d.reliedOn.Load()
 	relied := last != nil && time.Since(*last) < reliedFor
-	if relied && d.opts.NewsBound > 0 {
-		wait = min(wait, d.opts.NewsBound-reaction)
+	if relied && d.opts.UpdateBound > 0 {
+		wait = min(wait, d.opts.UpdateBound-reaction)
 	}
 	wait = max(wait-time.Since(d.lastSuccess), minWait)
 	if next := d.state.replicas.NextExpiry(); !next.IsZero() {
--- a/node/forward/batch.go
+++ b/node/forward/batch.go
@@ -36,13 +36,13 @@
 	Records []byte
 }
 
-// Neighbours sends batches through nodes next to their replicas.
-type Neighbours interface {
-	// Batch sends a batch through a node of a data centre and returns its name; without one
+// BatchSender sends batches through nodes next to their replicas.
+type BatchSender interface {
+	// SendBatch sends a batch through a node of a data centre and returns its name; without one
 	// that may be used nothing is sent. deliver is called with replies as they come, one
 	// call at a time, and with exactly one reply for each replica. ctx ends the wait for
 	// those that are missing.
-	Batch(ctx context.Context, dataCentre string, b *Batch, deliver func(PartReplies)) (node string, ok bool)
+	SendBatch(ctx context.Context, dataCentre string, b *Batch, deliver func(PartReplies)) (node string, ok bool)
 }
 
 // cancellable ends an attempt. Replies may still come for linger.
@@ -84,7 +84,7 @@
 // through nodes there, as far as they come in batches.
 func (q *run) launchAll() {
 	inBatch := make([]bool, len(q.story))
-	if q.route.Gathers() && q.f.opts.Neighbours != nil {
+	if q.route.Gathers() && q.f.opts.BatchSender != nil {
 		centres := make([]string, len(q.story))
 		for i := range q.story {
 			centres[i] = q.story[i].replica.DataCentre
@@ -118,7 +118,7 @@
 		attempts[k].call = &batchAttempt{call: call}
 	}
 	sent := time.Now()
-	node, ok := q.f.opts.Neighbours.Batch(ctx, dataCentre, b, func(r PartReplies) {
+	node, ok := q.f.opts.BatchSender.SendBatch(ctx, dataCentre, b, func(r PartReplies) {
 		q.deliver(steps, attempts, r, time.Since(sent))
 	})
 	if !ok {
--- a/node/forward/batch_test.go
+++ b/node/forward/batch_test.go
@@ -26,8 +26,8 @@
 	ended atomic.Pointer[time.Time]
 }
 
-// Batch implements forward.Neighbours.
-func (n *neighbour) Batch(ctx context.Context, _ string, b *forward.Batch, deliver func(forward.PartReplies)) (string, bool) {
+// SendBatch implements forward.BatchSender.
+func (n *neighbour) SendBatch(ctx context.Context, _ string, b *forward.Batch, deliver func(forward.PartReplies)) (string, bool) {
 	if n.to == nil {
 		return "", false
 	}
--- a/node/forward/bench_test.go
+++ b/node/forward/bench_test.go
@@ -48,7 +48,7 @@
 			for b.Loop() {
 				a := f.Serve(context.Background(), &forward.Request{
 					ID: "q", Method: http.MethodGet, Target: "/x", Path: "/x", Host: "h.example",
-					Header: header, Arrived: time.Now(), Patience: time.Second,
+					Header: header, Arrived: time.Now(), CallerTimeout: time.Second,
 				})
 				if a.Outcome != forward.Merged || a.Missing > 0 {
 					b.Fatalf("outcome %v, %d shards missing", a.Outcome, a.Missing)
--- a/node/forward/forward.go
+++ b/node/forward/forward.go
@@ -34,14 +34,14 @@
 	// Header holds the end-to-end headers. Not changed.
 	Header http.Header
 	Body   []byte
-	// Arrived is when the request's first bytes were read, and Patience how long its
+	// Arrived is when the request's first bytes were read, and CallerTimeout how long its
 	// caller waits from then on; 0 when the caller did not say.
-	Arrived  time.Time
-	Patience time.Duration
-	// Reserve is what of the route's objective is needed outside of the node that
+	Arrived       time.Time
+	CallerTimeout time.Duration
+	// TransitReserve is what of the route's objective is needed outside of the node that
 	// gathers: the caller's way and back, and the answer's way through other nodes; 0
 	// when it is not known.
-	Reserve time.Duration
+	TransitReserve time.Duration
 }
 
 // Outcome is how a request ended.
@@ -101,12 +101,12 @@
 	Dialect backend.Dialect
 	// DataCentre of this node.
 	DataCentre string
-	// Neighbours sends attempts at replicas of other data centres; nil for sending all
+	// BatchSender sends attempts at replicas of other data centres; nil for sending all
 	// from this node.
-	Neighbours Neighbours
-	// Extra bounds retries and hedges of the fleet.
-	Extra retrybudget.Bound
-	Log   logrus.FieldLogger
+	BatchSender BatchSender
+	// RetryBudget bounds retries and hedges of the fleet.
+	RetryBudget retrybudget.Bound
+	Log         logrus.FieldLogger
 	// Record is called with each ended request; may be nil.
 	Record func(r *route.Route, a *Answer, took time.Duration)
 }
@@ -158,7 +158,7 @@
 	if s == nil {
 		s = &service{
 			set:    upstream.NewBalancer(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-			budget: retrybudget.New(f.opts.Extra, time.Now()),
+			budget: retrybudget.New(f.opts.RetryBudget, time.Now()),
 		}
 		f.services[name] = s
 	}
--- a/node/forward/rig_test.go
+++ b/node/forward/rig_test.go
@@ -201,7 +201,7 @@
 }
 
 // node returns the forwarder of a node in a data centre.
-func (r *rig) node(dc string, neighbours forward.Neighbours) *forward.Forwarder {
+func (r *rig) node(dc string, neighbours forward.BatchSender) *forward.Forwarder {
 	if r.view.Index == nil {
 		r.view.Index = route.NewIndex(&route.Configuration{Version: 1, Routes: []route.Route{r.route}})
 	}
@@ -216,18 +216,18 @@
 }
 
 // forwarder returns the forwarder of a node that knows a view.
-func forwarder(view *directory.View, client *backend.Client, dc string, neighbours forward.Neighbours) *forward.Forwarder {
+func forwarder(view *directory.View, client *backend.Client, dc string, neighbours forward.BatchSender) *forward.Forwarder {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	log.SetLevel(logrus.ErrorLevel)
 	f := forward.New(forward.Options{
-		Source:     source{view: view},
-		Backend:    client,
-		Dialect:    dialect{},
-		DataCentre: dc,
-		Neighbours: neighbours,
-		Extra:      retrybudget.Bound{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second},
-		Log:        log,
+		Source:      source{view: view},
+		Backend:     client,
+		Dialect:     dialect{},
+		DataCentre:  dc,
+		BatchSender: neighbours,
+		RetryBudget: retrybudget.Bound{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second},
+		Log:         log,
 	})
 	f.Update(view)
 	return f
@@ -239,7 +239,7 @@
 	a := f.Serve(context.Background(), &forward.Request{
 		ID: "q", Method: http.MethodGet, Target: "/x", Path: "/x", Host: "h.example",
 		Header:  http.Header{headerID: {"q"}},
-		Arrived: began, Patience: time.Second, Reserve: reserve,
+		Arrived: began, CallerTimeout: time.Second, TransitReserve: reserve,
 	})
 	return a, time.Since(began)
 }
--- a/node/forward/run.go
+++ b/node/forward/run.go
@@ -79,8 +79,8 @@
 	q := &run{f: f, view: view, route: r, class: c, req: req, names: c.targets(r), outOfReach: f.reach.out()}
 	n := len(q.names)
 	patience := defaultPatience
-	if req.Patience > 0 {
-		patience = req.Patience - answerMargin
+	if req.CallerTimeout > 0 {
+		patience = req.CallerTimeout - answerMargin
 	}
 	if r.Timeout > 0 {
 		patience = min(patience, r.Timeout)
@@ -91,7 +91,7 @@
 		minCoverage = r.MinCoverage
 	}
 	attempts := max(r.MaxAttempts, 1)
-	q.objective = gather.AnswerDeadline(r.Objective, req.Reserve)
+	q.objective = gather.AnswerDeadline(r.Objective, req.TransitReserve)
 	q.hedging = c.hedging(q.objective)
 	q.query = gather.New(gather.Params{
 		Shards:      n,
--- a/node/gateway/assemble.go
+++ b/node/gateway/assemble.go
@@ -73,11 +73,11 @@
 // buildDirectory builds what follows the store.
 func (g *Gateway) buildDirectory(own coordinator.Member, store directory.Store) {
 	o := directory.Options{
-		Store:     store,
-		Node:      own,
-		Log:       g.log,
-		NewsBound: time.Duration(g.settings.GetForwarding().GetNewsBoundMs()) * time.Millisecond,
-		Changed:   g.changed,
+		Store:       store,
+		Node:        own,
+		Log:         g.log,
+		UpdateBound: time.Duration(g.settings.GetForwarding().GetNewsBoundMs()) * time.Millisecond,
+		Changed:     g.changed,
 	}
 	if !own.FollowsStoreAtStart() {
 		o.RegisterAfter = smallRegistersAfter
@@ -96,12 +96,12 @@
 	g.metrics.AddSource(g.backends.Report)
 	forwarding := g.settings.GetForwarding()
 	g.forwarder = forward.New(forward.Options{
-		Source:     g.directory,
-		Backend:    g.backends,
-		Dialect:    dialect,
-		DataCentre: g.settings.GetDataCentre(),
-		Neighbours: relay.NewNeighbours(own, g.peers, g.directory.Fleet, g.log),
-		Extra: retrybudget.Bound{
+		Source:      g.directory,
+		Backend:     g.backends,
+		Dialect:     dialect,
+		DataCentre:  g.settings.GetDataCentre(),
+		BatchSender: relay.NewNeighbours(own, g.peers, g.directory.Fleet, g.log),
+		RetryBudget: retrybudget.Bound{
 			Ratio:  forwarding.GetExtraRatio(),
 			Slack:  forwarding.GetExtraSlack(),
 			Window: seconds(forwarding.GetExtraWindowS()),
@@ -119,7 +119,7 @@
 		Follower:   g.directory,
 		Follow:     g.directory.Follow,
 		Local:      g.forwarder,
-		Registered: g.directory.Registered,
+		Registered: g.directory.RegisteredNodes,
 		Leaving:    g.stopping.Load,
 		Log:        g.log,
 		Record:     g.recordRelayed,
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -114,7 +114,7 @@
 
 // Serve implements Service.
 func (g *Gateway) Serve(ctx context.Context, req *forward.Request) forward.Answer {
-	req.Reserve = reserve(ctx)
+	req.TransitReserve = reserve(ctx)
 	a := g.relay.Serve(ctx, req)
 	if a.Outcome == forward.NotRun {
 		a.RetryAfter = max(a.RetryAfter, g.balancerDelay(time.Now()))
--- a/node/relay/neighbours.go
+++ b/node/relay/neighbours.go
@@ -25,7 +25,7 @@
 // ones.
 const batchSilence = 90 * time.Millisecond
 
-// Neighbours implements forward.Neighbours over connections between nodes. Safe for
+// Neighbours implements forward.BatchSender over connections between nodes. Safe for
 // concurrent use.
 type Neighbours struct {
 	pool  *peer.Pool
@@ -43,8 +43,8 @@
 	return &Neighbours{pool: pool, fleet: fleet, log: log, nodes: coordinator.NewNeighbours(own, rng)}
 }
 
-// Batch implements forward.Neighbours.
-func (n *Neighbours) Batch(ctx context.Context, dataCentre string, b *forward.Batch, deliver func(forward.PartReplies)) (string, bool) {
+// SendBatch implements forward.BatchSender.
+func (n *Neighbours) SendBatch(ctx context.Context, dataCentre string, b *forward.Batch, deliver func(forward.PartReplies)) (string, bool) {
 	fleet := n.fleet()
 	n.mu.Lock()
 	to, ok := n.nodes.Pick(fleet, dataCentre)
--- a/node/relay/neighbours_test.go
+++ b/node/relay/neighbours_test.go
@@ -42,7 +42,7 @@
 		Replicas: []string{"r0", "r1"}, Deadline: time.Now().Add(time.Second), TopRecords: 20,
 	}
 	groups := make(chan forward.PartReplies, len(b.Replicas))
-	node, ok = s.neighbours.Batch(ctx, "a", b, func(r forward.PartReplies) { groups <- r })
+	node, ok = s.neighbours.SendBatch(ctx, "a", b, func(r forward.PartReplies) { groups <- r })
 	for ok && len(replies) < len(b.Replicas) {
 		r := <-groups
 		replies = append(replies, r.Replies...)
@@ -126,7 +126,7 @@
 		defer cancel()
 		b := &forward.Batch{Request: &forward.Request{ID: "q"}, Replicas: []string{"r0"}, Deadline: time.Now().Add(time.Second)}
 		got := make(chan forward.PartReplies, 1)
-		_, ok := s.neighbours.Batch(ctx, "a", b, func(r forward.PartReplies) { got <- r })
+		_, ok := s.neighbours.SendBatch(ctx, "a", b, func(r forward.PartReplies) { got <- r })
 		w.Assert(ok, qt.IsTrue)
 		w.Assert((<-got).Replies, qt.HasLen, 1)
 		for _, n := range w.big {
--- a/node/relay/relay.go
+++ b/node/relay/relay.go
@@ -218,8 +218,8 @@
 }
 
 func patienceOf(req *forward.Request) time.Duration {
-	if req.Patience > 0 {
-		return req.Patience
+	if req.CallerTimeout > 0 {
+		return req.CallerTimeout
 	}
 	return defaultPatience
 }
@@ -228,7 +228,7 @@
 func (r *Relay) reserve(req *forward.Request) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return req.Reserve + r.delay.Estimate()
+	return req.TransitReserve + r.delay.Estimate()
 }
 
 // observeDelay takes how long a coordinator's answer was on its way.
--- a/node/relay/relay_test.go
+++ b/node/relay/relay_test.go
@@ -250,7 +250,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan forward.Answer)
 		go func() {
-			done <- w.small.relay.Serve(ctx, &forward.Request{ID: "q", Arrived: time.Now(), Patience: 5 * time.Second})
+			done <- w.small.relay.Serve(ctx, &forward.Request{ID: "q", Arrived: time.Now(), CallerTimeout: 5 * time.Second})
 		}()
 		time.Sleep(100 * time.Millisecond)
 		cancel()
--- a/node/relay/server.go
+++ b/node/relay/server.go
@@ -38,10 +38,10 @@
 	Fleet() coordinator.Fleet
 	// Synced reports whether the store was read; there may be no configuration in it.
 	Synced() bool
-	// Hurry asks for news at once.
-	Hurry()
-	// RelyOn notes that another node relies on this one.
-	RelyOn()
+	// PollNow asks for updates at once.
+	PollNow()
+	// MarkReliedOn notes that another node relies on this one.
+	MarkReliedOn()
 	// Stale reports whether the store has not answered for a while.
 	Stale() bool
 }
@@ -128,7 +128,7 @@
 		case time.Now().After(until) || ctx.Err() != nil || s.opts.Follower.Stale():
 			return pb.RelayRefusal_RELAY_REFUSAL_BEHIND
 		}
-		s.opts.Follower.Hurry()
+		s.opts.Follower.PollNow()
 		work.Sleep(ctx, lookEvery)
 	}
 }
@@ -148,7 +148,7 @@
 
 // Heartbeat implements peerv1.CoordinatorServer.
 func (s *Server) Heartbeat(ctx context.Context, m *pb.HeartbeatRequest) (*pb.HeartbeatResponse, error) {
-	s.opts.Follower.RelyOn()
+	s.opts.Follower.MarkReliedOn()
 	ctx, cancel := context.WithTimeout(ctx, min(time.Duration(m.GetWaitMs())*time.Millisecond, maxWait))
 	defer cancel()
 	now := s.state()
--- a/node/relay/wire.go
+++ b/node/relay/wire.go
@@ -32,7 +32,7 @@
 		Headers:    encodeHeader(req.Header),
 		Body:       req.Body,
 		ElapsedUs:  microseconds(time.Since(req.Arrived)),
-		PatienceUs: microseconds(req.Patience),
+		PatienceUs: microseconds(req.CallerTimeout),
 	}
 }
 
@@ -44,16 +44,16 @@
 	target := string(m.GetTarget())
 	path, _, _ := strings.Cut(target, "?")
 	return &forward.Request{
-		ID:       string(m.GetRequestId()),
-		Method:   string(m.GetMethod()),
-		Target:   target,
-		Path:     path,
-		Host:     string(m.GetHost()),
-		Header:   decodeHeader(m.GetHeaders()),
-		Body:     m.GetBody(),
-		Arrived:  now.Add(-duration(m.GetElapsedUs())),
-		Patience: duration(m.GetPatienceUs()),
-		Reserve:  duration(m.GetReserveUs()),
+		ID:             string(m.GetRequestId()),
+		Method:         string(m.GetMethod()),
+		Target:         target,
+		Path:           path,
+		Host:           string(m.GetHost()),
+		Header:         decodeHeader(m.GetHeaders()),
+		Body:           m.GetBody(),
+		Arrived:        now.Add(-duration(m.GetElapsedUs())),
+		CallerTimeout:  duration(m.GetPatienceUs()),
+		TransitReserve: duration(m.GetReserveUs()),
 	}
 }
 
--- a/node/relay/world_test.go
+++ b/node/relay/world_test.go
@@ -95,9 +95,9 @@
 	return n.stale
 }
 
-func (n *node) RelyOn() {}
+func (n *node) MarkReliedOn() {}
 
-func (n *node) Hurry() { n.set(func() { n.hurried++ }) }
+func (n *node) PollNow() { n.set(func() { n.hurried++ }) }
 
 // ServeBatch answers for each replica at once, or for none while the node holds requests.
 func (n *node) ServeBatch(ctx context.Context, b *forward.Batch, deliver func(forward.PartReplies) error) error {
@@ -241,7 +241,7 @@
 }
 
 func (w *world) ask(method string) forward.Answer {
-	req := &forward.Request{ID: "q", Method: method, Target: "/x", Arrived: time.Now(), Patience: 5 * time.Second}
+	req := &forward.Request{ID: "q", Method: method, Target: "/x", Arrived: time.Now(), CallerTimeout: 5 * time.Second}
 	return w.small.relay.Serve(w.Context(), req)
 }
 
