--- a/node/caller/endpoints.go
+++ b/node/caller/endpoints.go
@@ -14,8 +14,8 @@
 	"github.com/carobmill/carobmill/policy/query"
 )
 
-// Queries runs read requests.
-type Queries interface {
+// Querier runs read requests.
+type Querier interface {
 	Query(ctx context.Context, req entry.Request) (*entry.Result, error)
 }
 
@@ -24,7 +24,7 @@
 	Execute(ctx context.Context, req execute.Request) execute.Outcome
 }
 
-func makeQueryEndpoint(q Queries) endpoint.Endpoint {
+func makeQueryEndpoint(q Querier) endpoint.Endpoint {
 	return func(ctx context.Context, request any) (any, error) {
 		req := request.(*QueryRequest)
 		result, err := q.Query(ctx, entry.Request{
--- a/node/caller/fuzz_test.go
+++ b/node/caller/fuzz_test.go
@@ -46,7 +46,7 @@
 	} {
 		f.Add([]byte(body))
 	}
-	handler := caller.NewHandler(caller.Options{Queries: echo{}, Executor: echo{}, MaxBodyBytes: maxBody})
+	handler := caller.NewHandler(caller.Options{Querier: echo{}, Executor: echo{}, MaxBodyBytes: maxBody})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		for _, path := range []string{"/v1/query", "/v1/execute"} {
 			rec := httptest.NewRecorder()
--- a/node/caller/handler.go
+++ b/node/caller/handler.go
@@ -35,7 +35,7 @@
 
 // Options are the parts that the caller interface is built from.
 type Options struct {
-	Queries  Queries
+	Querier  Querier
 	Executor Executor
 	// MaxBodyBytes bounds a request's body.
 	MaxBodyBytes int64
@@ -54,7 +54,7 @@
 	h := &Handler{mux: http.NewServeMux(), maxBody: o.MaxBodyBytes}
 	options := []httptransport.ServerOption{httptransport.ServerErrorEncoder(encodeError)}
 	h.mux.Handle("POST "+queryPath, httptransport.NewServer(
-		makeQueryEndpoint(o.Queries), decodeQuery, encodeAnswer, options...))
+		makeQueryEndpoint(o.Querier), decodeQuery, encodeAnswer, options...))
 	h.mux.Handle("POST "+executePath, httptransport.NewServer(
 		makeExecuteEndpoint(o.Executor), decodeExecute, encodeExecuteAnswer, options...))
 	return h
--- a/node/caller/refuse_test.go
+++ b/node/caller/refuse_test.go
@@ -13,7 +13,7 @@
 // A caller repeats a fee with its idempotency key at a node that shuts down.
 // The first submission may have run at another node, so the answer is "unknown",
 // never "refused", which would say that the fee was not taken.
-func TestShutdownSaysNothingFalseAboutAKey(t *testing.T) {
+func TestShutdownReportsUnknownForRequestWithIdempotencyKey(t *testing.T) {
 	tests := map[string]struct{ path, body, outcome string }{
 		"with a key":    {"/v1/execute", `{"service":"s","class":"c","key":"k","idempotency_key":"fee-1","body":1}`, `"outcome":"unknown"`},
 		"without a key": {"/v1/execute", `{"service":"s","class":"c","key":"k","body":1}`, `"outcome":"refused"`},
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -56,7 +56,7 @@
 type Local interface {
 	Submit(ctx context.Context, req owner.Request, reply func(*pb.SubrequestResult))
 	Execute(ctx context.Context, req owner.Request) *pb.SubrequestResult
-	News(service string, since uint64) ([]*pb.ReplicaNews, uint64)
+	ReportsSince(service string, since uint64) ([]*pb.ReplicaNews, uint64)
 }
 
 // Options are the parts that an Entry is built from.
--- a/node/entry/probe_test.go
+++ b/node/entry/probe_test.go
@@ -15,7 +15,7 @@
 // deadline. Its callers must not read "deadline_too_short" ever after, while the
 // backend servers have long been fast: only admitted queries teach, so one is
 // admitted a second later, and its answer ends the refusals.
-func TestSlowStartDoesNotRefuseForEver(t *testing.T) {
+func TestAdmissionRecoversAfterSlowFirstQueries(t *testing.T) {
 	c := qt.New(t)
 	const left = 235 * time.Millisecond
 	tables := newTables(&config.Service{Spec: &pb.Service{}}, 0, rand.New(rand.NewPCG(1, 2)))
--- a/node/entry/run.go
+++ b/node/entry/run.go
@@ -253,7 +253,7 @@
 
 func (r *runner) sendLocal(p *part) {
 	self := r.entry.Fleet.Self().ID()
-	news, revision := r.entry.Local.News(r.svc.Name, r.tables.heardUpTo(self))
+	news, revision := r.entry.Local.ReportsSince(r.svc.Name, r.tables.heardUpTo(self))
 	r.tables.hear(time.Now(), self, news, revision)
 	reply := func(result *pb.SubrequestResult) { r.replies.Put(result) }
 	for _, s := range p.sends {
--- a/node/entry/tables_test.go
+++ b/node/entry/tables_test.go
@@ -14,7 +14,7 @@
 // Callers of queries would be hedged at once and replicas taken for cold: fees say
 // nothing of their time at the replica, and counted as answers of 0 ms they pulled
 // down what owners compare their replicas with.
-func TestFeesLeaveTheQuantilesOfQueriesAlone(t *testing.T) {
+func TestExecuteLatencyIsExcludedFromQueryQuantiles(t *testing.T) {
 	c := qt.New(t)
 	tables := newTables(&config.Service{Spec: &pb.Service{}}, 1, rand.New(rand.NewPCG(1, 1)))
 	now := time.Unix(1000, 0)
--- a/node/node/node.go
+++ b/node/node/node.go
@@ -101,7 +101,7 @@
 		Dial:           dialer,
 		MaxResultBytes: int64(limits.GetMaxResultBytes()),
 		Event:          n.event,
-		Lost:           func(replica string) { n.owner.Lost(replica) },
+		Lost:           func(replica string) { n.owner.ConnectionLost(replica) },
 	})
 	metrics.AddSource(n.backends.Report)
 	envelopes := &lazyEnvelopes{}
@@ -165,7 +165,7 @@
 	})
 	n.metrics.AddSource(n.executor.Report)
 	n.callers = caller.NewHandler(caller.Options{
-		Queries:      n.entry,
+		Querier:      n.entry,
 		Executor:     n.executor,
 		MaxBodyBytes: int64(limits.GetMaxBodyBytes()),
 	})
--- a/node/owner/alone_test.go
+++ b/node/owner/alone_test.go
@@ -38,7 +38,7 @@
 	return got
 }
 
-func TestLapsedClaimStopsRequestsToAWarmReplica(t *testing.T) {
+func TestExpiredClaimStopsRequestsToWarmReplica(t *testing.T) {
 	// The sheet in force states that the replica may turn cold unseen, so one request
 	// at a time goes there although it is warm. This node's claim lapses, as after a
 	// pause or in a split data centre, while one request runs and two wait: these must
@@ -70,7 +70,7 @@
 // for it: the backend server has restarted and is cold. Until a status poll has told
 // so the first owner must not call it warm to the second owner, which would send to
 // it together with the first. The poll is due at once.
-func TestLostConnectionsEndTheWordForWarm(t *testing.T) {
+func TestLostConnectionsStopReportingReplicaWarm(t *testing.T) {
 	virtualBatch(t, func(r *batchRig) {
 		replica := r.Fleet.Index().Replicas["r0"]
 		told := func() pb.ReplicaState {
--- a/node/owner/batch_test.go
+++ b/node/owner/batch_test.go
@@ -67,7 +67,7 @@
 		r := &batchRig{server: server, backend: &hooked{beforeBatch: func() {}}}
 		r.Owner = New(Options{Backend: r.backend, Pool: work.NewPool(16), Ring: ring.New(8, func(string) {}),
 			Fleet: soleFleet{index: &config.Index{Replicas: map[string]*config.Replica{"r0": replica}}}})
-		r.backend.Client = backend.New(backend.Options{Dial: network.Dialer("node"), Lost: r.Lost})
+		r.backend.Client = backend.New(backend.Options{Dial: network.Dialer("node"), Lost: r.ConnectionLost})
 		defer func() {
 			r.backend.Close()
 			server.Close()
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestReplicaThatTurnsColdGetsNoBatch(t *testing.T) {
+func TestColdReplicaReceivesNoBatch(t *testing.T) {
 	// Two places hold a call each, 12 reads wait and go in batches of 8 and 4. With
 	// both under way the replica turns cold and says so in its next replies. It bears
 	// two requests and has more: nothing may be sent until these have ended, those of
@@ -116,13 +116,13 @@
 	})
 }
 
-func TestLostConnectionHoldsBackAWholeBatch(t *testing.T) {
+func TestLostConnectionRefusesUnsentBatch(t *testing.T) {
 	// The backend server closes a connection while a batch has its place and is not
 	// written yet: it may have restarted. The batch is held back as not run, like a
 	// single call. A non-idempotent request that waited between reads is carried
 	// alone, since its evidence has to be its own.
 	virtualBatch(t, func(r *batchRig) {
-		r.backend.beforeBatch = func() { r.Lost("r0") }
+		r.backend.beforeBatch = func() { r.ConnectionLost("r0") }
 		before := r.server.Counts().Queries
 		r.ask(2+4, false)
 		time.Sleep(time.Second)
@@ -136,7 +136,7 @@
 	})
 }
 
-func TestReplicaWithoutTheCallGetsSingles(t *testing.T) {
+func TestReplicaWithoutBatchSupportReceivesSingleCalls(t *testing.T) {
 	// The sheet sets max_batch, and this backend server does not serve the call. The
 	// reads of the one batch that is tried fail and are asked again by their queries;
 	// all others go singly and are answered, until it is tried again a minute later.
--- a/node/owner/owner.go
+++ b/node/owner/owner.go
@@ -106,14 +106,14 @@
 	RequestID string
 }
 
-// MaxTime is the longest time that a message can state: that of the longest deadline
+// MaxMessageDuration is the longest time that a message can state: that of the longest deadline
 // that a sheet allows.
-const MaxTime = 600_000 * time.Millisecond
+const MaxMessageDuration = 600_000 * time.Millisecond
 
-// Microseconds is a time out of a message. What is longer than MaxTime counts as
+// DurationFromMicroseconds is a time out of a message. What is longer than MaxMessageDuration counts as
 // that: a damaged message would else overflow, or hold a place for ever.
-func Microseconds(us uint64) time.Duration {
-	return time.Duration(min(us, uint64(MaxTime.Microseconds()))) * time.Microsecond
+func DurationFromMicroseconds(us uint64) time.Duration {
+	return time.Duration(min(us, uint64(MaxMessageDuration.Microseconds()))) * time.Microsecond
 }
 
 // FromExecute is the request of a message from the node with that boot.
@@ -127,7 +127,7 @@
 		Body:       req.GetBody(),
 		Attempt:    req.GetAttempt(),
 		Sender:     sender,
-		Typical:    Microseconds(req.GetTypicalUs()),
+		Typical:    DurationFromMicroseconds(req.GetTypicalUs()),
 		Execute:    true,
 		RequestID:  req.GetRequestId(),
 	}
--- a/node/owner/poll.go
+++ b/node/owner/poll.go
@@ -297,11 +297,11 @@
 	return entry.limiter.InFlight()
 }
 
-// News returns what changed at the replicas of a service since a revision, and
+// ReportsSince returns what changed at the replicas of a service since a revision, and
 // the revision to ask from next. Entry nodes learn by it of replicas that they do
 // not ask at present, and so would leave out for good: lost or cold ones that are
 // back, and those that have taken up a new snapshot.
-func (o *Owner) News(service string, since uint64) ([]*pb.ReplicaNews, uint64) {
+func (o *Owner) ReportsSince(service string, since uint64) ([]*pb.ReplicaNews, uint64) {
 	revision := o.revision.Load()
 	if revision == since {
 		return nil, revision
--- a/node/owner/verify.go
+++ b/node/owner/verify.go
@@ -45,8 +45,8 @@
 	})
 }
 
-// Lost takes in that a backend server closed a connection.
-func (o *Owner) Lost(replica string) {
+// ConnectionLost takes in that a backend server closed a connection.
+func (o *Owner) ConnectionLost(replica string) {
 	o.mu.Lock()
 	r := o.replicas[replica]
 	o.mu.Unlock()
--- a/node/peer/fuzz_test.go
+++ b/node/peer/fuzz_test.go
@@ -197,7 +197,7 @@
 	sent.Wait()
 	pool.Close()
 	switch {
-	case time.Since(began) > owner.MaxTime+time.Second:
+	case time.Since(began) > owner.MaxMessageDuration+time.Second:
 		t.Fatalf("held for %v", time.Since(began))
 	case n.wrong != "":
 		t.Fatalf("replica %q was asked", n.wrong)
--- a/node/peer/scatter.go
+++ b/node/peer/scatter.go
@@ -44,7 +44,7 @@
 		s.submit(req, p, at)
 	}
 	p.next = &pb.ScatterResponse{Envelope: s.fleet.Envelope(), ReadsBrief: true}
-	p.next.News, p.next.NewsRevision = s.owner.News(req.GetService(), req.GetNewsSince())
+	p.next.News, p.next.NewsRevision = s.owner.ReportsSince(req.GetService(), req.GetNewsSince())
 	return p.forward(gatherTime(req))
 }
 
@@ -73,7 +73,7 @@
 
 // gatherTime is how long a result may wait for others.
 func gatherTime(req *pb.ScatterRequest) time.Duration {
-	typical := owner.Microseconds(req.GetTypicalUs())
+	typical := owner.DurationFromMicroseconds(req.GetTypicalUs())
 	return min(typical/gatherPart, maxGather)
 }
 
@@ -91,7 +91,7 @@
 		Attempt:    sub.GetAttempt(),
 		Sender:     req.GetEnvelope().GetBoot(),
 		Extra:      sub.GetExtra(),
-		Typical:    owner.Microseconds(req.GetTypicalUs()),
+		Typical:    owner.DurationFromMicroseconds(req.GetTypicalUs()),
 	}, func(r *pb.SubrequestResult) {
 		attempt.cancel()
 		p.results.Put(answered{sub: sub, result: r})
--- a/node/peer/scatter_test.go
+++ b/node/peer/scatter_test.go
@@ -36,7 +36,7 @@
 	}()
 }
 
-func (o *timedOwner) News(string, uint64) ([]*pb.ReplicaNews, uint64) { return nil, 1 }
+func (o *timedOwner) ReportsSince(string, uint64) ([]*pb.ReplicaNews, uint64) { return nil, 1 }
 
 type noFleet struct{ Fleet }
 
--- a/node/peer/server.go
+++ b/node/peer/server.go
@@ -35,7 +35,7 @@
 type Owner interface {
 	Submit(ctx context.Context, req owner.Request, reply func(*pb.SubrequestResult))
 	Execute(ctx context.Context, req owner.Request) *pb.SubrequestResult
-	News(service string, since uint64) ([]*pb.ReplicaNews, uint64)
+	ReportsSince(service string, since uint64) ([]*pb.ReplicaNews, uint64)
 	HandleReport(sender string, req *pb.ReportReplicaRequest) *pb.ReportReplicaResponse
 }
 
@@ -166,5 +166,5 @@
 
 // withTimeout bounds a request by the time that its sender gives it.
 func withTimeout(ctx context.Context, timeoutUs uint64) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, owner.Microseconds(timeoutUs))
+	return context.WithTimeout(ctx, owner.DurationFromMicroseconds(timeoutUs))
 }
