--- a/node/caller/decode.go
+++ b/node/caller/decode.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// maxNameBytes bounds service, class, shard and key.
+	// maxNameBytes limits service, class, shard, key and idempotency key.
 	maxNameBytes = 256
-	// maxDeadlineMs bounds what is read as a deadline; the service's own
-	// maximum is lower.
+	// maxDeadlineMs limits the deadline accepted by the decoder. The maximum of
+	// the service is lower.
 	maxDeadlineMs = 24 * 60 * 60 * 1000
 )
 
-// FieldError is a request that could not be read, with the field at fault.
+// FieldError reports an invalid request and the field that is invalid.
 type FieldError struct {
 	Field   string
 	Problem string
-	// TooLarge marks a body above the limit.
+	// TooLarge is set when the body exceeds the size limit.
 	TooLarge bool
 }
 
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	if (req.Shard == "") == (req.Key == "") {
-		return nil, &FieldError{Field: "shard", Problem: "exactly one of shard and key has to be given"}
+		return nil, &FieldError{Field: "shard", Problem: "exactly one of shard and key is required"}
 	}
 	if len(req.Body) == 0 {
 		return nil, &FieldError{Field: "body", Problem: "is missing; any JSON value is allowed"}
@@ -76,7 +76,7 @@
 	return &req, nil
 }
 
-// decodeBody reads one JSON document and nothing after it.
+// decodeBody decodes a body that consists of exactly one JSON document.
 func decodeBody(r *http.Request, into any) error {
 	dec := json.NewDecoder(r.Body)
 	dec.DisallowUnknownFields()
@@ -84,7 +84,7 @@
 		return bodyError(err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return &FieldError{Field: "body", Problem: "has something after the JSON document"}
+		return &FieldError{Field: "body", Problem: "contains data after the JSON document"}
 	}
 	return nil
 }
@@ -102,18 +102,18 @@
 	if errors.As(err, &wrongType) {
 		return &FieldError{
 			Field:   fieldOrBody(wrongType.Field),
-			Problem: fmt.Sprintf("is a %s, allowed is %s", wrongType.Value, allowedType(wrongType.Type)),
+			Problem: fmt.Sprintf("got %s, expected %s", wrongType.Value, allowedType(wrongType.Type)),
 		}
 	}
 	const unknown = "json: unknown field "
 	if text := err.Error(); strings.HasPrefix(text, unknown) {
 		name := strings.Trim(text[len(unknown):], `"`)
-		return &FieldError{Field: fieldOrBody(name), Problem: fmt.Sprintf("%q is not a known field", name)}
+		return &FieldError{Field: fieldOrBody(name), Problem: fmt.Sprintf("unknown field %q", name)}
 	}
-	return &FieldError{Field: "body", Problem: "is not a JSON document: " + err.Error()}
+	return &FieldError{Field: "body", Problem: "is not valid JSON: " + err.Error()}
 }
 
-// fieldOrBody names the body where no field can be named.
+// fieldOrBody returns "body" for an error that has no field.
 func fieldOrBody(field string) string {
 	if field == "" {
 		return "body"
@@ -121,7 +121,7 @@
 	return field
 }
 
-// allowedType describes a field's type in JSON's terms.
+// allowedType returns the JSON description of a Go type.
 func allowedType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
@@ -129,7 +129,7 @@
 	case reflect.Bool:
 		return "true or false"
 	case reflect.Int64:
-		return "a whole number"
+		return "an integer"
 	default:
 		return "an object"
 	}
@@ -155,7 +155,7 @@
 
 func checkDeadline(ms int64) error {
 	if ms < 0 || ms > maxDeadlineMs {
-		return &FieldError{Field: "deadline_ms", Problem: fmt.Sprintf("is out of range, allowed is 0 to %d", maxDeadlineMs)}
+		return &FieldError{Field: "deadline_ms", Problem: fmt.Sprintf("is out of range: must be between 0 and %d", maxDeadlineMs)}
 	}
 	return nil
 }
--- a/node/caller/endpoints.go
+++ b/node/caller/endpoints.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// resultJSON keeps a result that is not JSON as a string: the request ran, and
-// the caller must learn that whatever the backend server wrote.
+// resultJSON encodes a result that is not valid JSON as a JSON string. Otherwise the
+// answer could not be encoded, and the caller would not learn that the request ran.
 func resultJSON(result []byte) json.RawMessage {
 	if len(result) == 0 || json.Valid(result) {
 		return result
@@ -137,8 +137,8 @@
 	}
 }
 
-// reasonName is the form of a reason that callers see: lower case, without the
-// enum's prefix, empty for none.
+// reasonName returns a reason as callers receive it: in lower case without the
+// prefix of the enum, or empty when there is no reason.
 func reasonName(reason pb.Reason) string {
 	if reason == pb.Reason_REASON_UNSPECIFIED {
 		return ""
--- a/node/caller/fuzz_test.go
+++ b/node/caller/fuzz_test.go
@@ -19,7 +19,7 @@
 
 const maxBody = 4 << 10
 
-// echo answers each query with the query itself as the result of one shard.
+// echo returns the query or body of each request as its result.
 type echo struct{}
 
 func (echo) Query(_ context.Context, req entry.Request) (*entry.Result, error) {
@@ -32,9 +32,9 @@
 	return execute.Outcome{Outcome: dispatch.Outcome{Evidence: pb.Evidence_EVIDENCE_RAN, Result: req.Body}}
 }
 
-// FuzzCallerBody feeds any bytes to both requests of the caller interface. A
-// body is either refused with 400 and the name of the field at fault, or 413, or
-// its query reaches the backend server and the result comes back unchanged.
+// FuzzCallerBody sends arbitrary bodies to both endpoints. The handler either
+// rejects a body with status 400 or 413 and the name of the invalid field, or
+// forwards the query and returns the result unchanged.
 //
 // Long run: go test ./node/caller -run NONE -fuzz FuzzCallerBody -fuzztime 10m
 func FuzzCallerBody(f *testing.F) {
@@ -63,14 +63,14 @@
 	case http.StatusBadRequest, http.StatusRequestEntityTooLarge:
 		var answer caller.ErrorAnswer
 		if err := json.Unmarshal(rec.Body.Bytes(), &answer); err != nil || answer.Error.Field == "" {
-			t.Fatalf("%s: error names no field: %s", path, rec.Body)
+			t.Fatalf("%s: error response does not name a field: %s", path, rec.Body)
 		}
 	default:
-		t.Fatalf("%s: status %d: %s", path, rec.Code, rec.Body)
+		t.Fatalf("%s: unexpected status %d: %s", path, rec.Code, rec.Body)
 	}
 }
 
-// checkUnchanged compares with numbers as they were written.
+// checkUnchanged compares the request with the result without converting numbers.
 func checkUnchanged(t *testing.T, path string, body, reply []byte) {
 	var sent struct {
 		Query any `json:"query"`
@@ -83,10 +83,10 @@
 	decode(t, body, &sent)
 	decode(t, reply, &got)
 	if path == "/v1/query" && !reflect.DeepEqual(sent.Query, got.Results["s"]) {
-		t.Fatalf("query %v came back as %v", sent.Query, got.Results["s"])
+		t.Fatalf("query %v was returned as %v", sent.Query, got.Results["s"])
 	}
 	if path == "/v1/execute" && !reflect.DeepEqual(sent.Body, got.Result) {
-		t.Fatalf("body %v came back as %v", sent.Body, got.Result)
+		t.Fatalf("body %v was returned as %v", sent.Body, got.Result)
 	}
 }
 
--- a/node/caller/handler.go
+++ b/node/caller/handler.go
@@ -18,7 +18,7 @@
 	"github.com/carobmill/carobmill/policy/query"
 )
 
-// Bounds on what a caller may send and how slowly.
+// Limits of the HTTP server for callers.
 const (
 	MaxHeaderBytes    = 16 << 10
 	ReadHeaderTimeout = 5 * time.Second
@@ -28,28 +28,28 @@
 const (
 	queryPath   = "/v1/query"
 	executePath = "/v1/execute"
-	// refusalRetryAfter is when to come back, at another node, to one that
-	// shuts down.
+	// refusalRetryAfter is the retry delay returned by a node that shuts down.
+	// The retry should go to another node.
 	refusalRetryAfter = time.Second
 )
 
-// Options are the parts that the caller interface is built from.
+// Options configures a Handler.
 type Options struct {
 	Querier  Querier
 	Executor Executor
-	// MaxBodyBytes bounds a request's body.
+	// MaxBodyBytes limits the size of a request body.
 	MaxBodyBytes int64
 }
 
-// Handler serves the caller interface until Refuse is called. Requests that it has
-// accepted are waited for by http.Server.Shutdown.
+// Handler serves the caller interface until Refuse is called.
+// http.Server.Shutdown waits for the requests accepted before that.
 type Handler struct {
 	mux      *http.ServeMux
 	maxBody  int64
 	refusing atomic.Bool
 }
 
-// NewHandler returns the handler of the caller interface.
+// NewHandler returns a handler that accepts requests.
 func NewHandler(o Options) *Handler {
 	h := &Handler{mux: http.NewServeMux(), maxBody: o.MaxBodyBytes}
 	options := []httptransport.ServerOption{httptransport.ServerErrorEncoder(encodeError)}
@@ -71,12 +71,13 @@
 	h.mux.ServeHTTP(w, r)
 }
 
-// Refuse makes the handler refuse new requests as not run.
+// Refuse makes the handler refuse new requests without running them.
 func (h *Handler) Refuse() { h.refusing.Store(true) }
 
-// refuse answers a request that comes too late for this node. One that repeats
-// an idempotency key is not told "not run", because the submission before it,
-// at another node, may have run.
+// refuse answers a request that arrives after Refuse. A request with an idempotency
+// key, or with a body that cannot be decoded, is answered with outcome unknown
+// instead of refused: an earlier submission with the same key may have run at
+// another node.
 func (h *Handler) refuse(w http.ResponseWriter, r *http.Request) {
 	retry := refusalRetryAfter.Milliseconds()
 	reason := reasonName(pb.Reason_REASON_UNREADY)
@@ -103,8 +104,8 @@
 	return nil
 }
 
-// answerStatus fits the outcome: a partial answer with results is still an
-// answer, and its body says what is missing.
+// answerStatus returns the HTTP status for an answer. A partial answer with results
+// has status 200; its body lists the absent shards.
 func answerStatus(answer *Answer) int {
 	switch {
 	case answer.Outcome == query.Refused && answer.Reason == reasonName(pb.Reason_REASON_OVERLOAD):
@@ -163,13 +164,12 @@
 	writeJSON(w, status, 0, &ErrorAnswer{Error: detail})
 }
 
-// writeJSON writes a document. Retry-After is in whole seconds, so the exact time
-// stands in the body.
+// writeJSON writes a document. The Retry-After header is rounded up to whole seconds;
+// the body contains the exact value.
 func writeJSON(w http.ResponseWriter, status int, retryAfterMs int64, document any) {
 	body, err := json.Marshal(document)
 	if err != nil {
-		// A backend server's result that is not JSON must not pass as a part
-		// of a complete answer.
+		// A result that is not valid JSON must not be part of a complete answer.
 		status = http.StatusBadGateway
 		body, _ = json.Marshal(&ErrorAnswer{Error: ErrorDetail{Code: "bad_result", Message: err.Error()}})
 	}
--- a/node/caller/messages.go
+++ b/node/caller/messages.go
@@ -10,10 +10,10 @@
 type QueryRequest struct {
 	Service string `json:"service"`
 	Class   string `json:"class"`
-	// Query is passed on to the backend servers as it is.
+	// Query is forwarded to the backend servers unchanged.
 	Query json.RawMessage `json:"query"`
-	// DeadlineMs is the time allowed in milliseconds; 0 takes the service's
-	// default, and more than its maximum is cut to that.
+	// DeadlineMs is the deadline in milliseconds. 0 selects the default of the
+	// service; a value above its maximum is reduced to the maximum.
 	DeadlineMs int64 `json:"deadline_ms"`
 	Trace      bool  `json:"trace"`
 }
@@ -22,16 +22,16 @@
 type ExecuteRequest struct {
 	Service string `json:"service"`
 	Class   string `json:"class"`
-	// Shard names the shard; Key chooses one by hashing when Shard is empty.
+	// Exactly one of Shard and Key is set. The hash of Key selects the shard.
 	Shard string `json:"shard"`
 	Key   string `json:"key"`
-	// IdempotencyKey makes a caller's own retry safe, on any node.
+	// IdempotencyKey makes a retry by the caller safe on any node.
 	IdempotencyKey string          `json:"idempotency_key"`
 	Body           json.RawMessage `json:"body"`
 	DeadlineMs     int64           `json:"deadline_ms"`
 }
 
-// Answer is the body that answers a query.
+// Answer is the response body of POST /v1/query.
 type Answer struct {
 	Outcome  query.Outcome `json:"outcome"`
 	Coverage float64       `json:"coverage"`
@@ -41,14 +41,14 @@
 	Generation    uint64                     `json:"generation"`
 	ConfigVersion uint64                     `json:"config_version"`
 	Results       map[string]json.RawMessage `json:"results,omitempty"`
-	// Reason says why a refused request was refused.
+	// Reason is set for a refused request.
 	Reason       string `json:"reason,omitempty"`
 	RetryAfterMs int64  `json:"retry_after_ms,omitempty"`
 	Cost         *Cost  `json:"cost,omitempty"`
 	Trace        []Step `json:"trace,omitempty"`
 }
 
-// AbsentShard is a shard without a result, with the reason.
+// AbsentShard is a shard without a result.
 type AbsentShard struct {
 	Shard  string `json:"shard"`
 	Reason string `json:"reason"`
@@ -64,7 +64,7 @@
 	Restarts int `json:"restarts"`
 }
 
-// Step is one step of a traced query.
+// Step is one event in the trace of a query.
 type Step struct {
 	AtUs     int64  `json:"at_us"`
 	Kind     string `json:"kind"`
@@ -75,31 +75,32 @@
 	Reason   string `json:"reason,omitempty"`
 }
 
-// ExecuteAnswer is the body that answers a non-idempotent request. The outcome
-// is complete (it ran), refused (it did not run) or unknown.
+// ExecuteAnswer is the response body of POST /v1/execute. The outcome is complete
+// (the request ran), refused (the request did not run) or unknown.
 type ExecuteAnswer struct {
 	Outcome   query.Outcome   `json:"outcome"`
 	RequestID string          `json:"request_id,omitempty"`
 	Result    json.RawMessage `json:"result,omitempty"`
-	// Sent is false when this submission has not run and will not, whatever an
-	// earlier one with the same idempotency key did.
+	// Sent is false when this submission did not run and will not run. An earlier
+	// submission with the same idempotency key may have run.
 	Sent bool `json:"sent"`
 	// Repeated marks the outcome of an earlier submission with the same key.
 	Repeated bool `json:"repeated,omitempty"`
-	// ResultDropped: it ran earlier, and the result was too large to keep.
+	// ResultDropped is set when an earlier submission ran and its result was too
+	// large to store.
 	ResultDropped bool   `json:"result_dropped,omitempty"`
 	Reason        string `json:"reason,omitempty"`
 	RetryAfterMs  int64  `json:"retry_after_ms,omitempty"`
 	ConfigVersion uint64 `json:"config_version"`
 }
 
-// ErrorAnswer is the body of a request that could not be read or names
-// something unknown.
+// ErrorAnswer is the response body for a request that is invalid or names an
+// unknown service, class or shard.
 type ErrorAnswer struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail names the kind of error and the field at fault.
+// ErrorDetail contains the kind of error and the invalid field.
 type ErrorDetail struct {
 	Code    string `json:"code"`
 	Field   string `json:"field,omitempty"`
--- a/node/caller/refuse_test.go
+++ b/node/caller/refuse_test.go
@@ -10,15 +10,14 @@
 	"github.com/carobmill/carobmill/node/caller"
 )
 
-// A caller repeats a fee with its idempotency key at a node that shuts down.
-// The first submission may have run at another node, so the answer is "unknown",
-// never "refused", which would say that the fee was not taken.
+// A node that shuts down must not answer "refused" to a request with an idempotency
+// key: an earlier submission with that key may have run at another node.
 func TestShutdownReportsUnknownForRequestWithIdempotencyKey(t *testing.T) {
 	tests := map[string]struct{ path, body, outcome string }{
-		"with a key":    {"/v1/execute", `{"service":"s","class":"c","key":"k","idempotency_key":"fee-1","body":1}`, `"outcome":"unknown"`},
-		"without a key": {"/v1/execute", `{"service":"s","class":"c","key":"k","body":1}`, `"outcome":"refused"`},
-		"cut off":       {"/v1/execute", `{"service":"s"`, `"outcome":"unknown"`},
-		"query":         {"/v1/query", `{"service":"s","class":"c","query":1}`, `"outcome":"refused"`},
+		"idempotency key":    {"/v1/execute", `{"service":"s","class":"c","key":"k","idempotency_key":"fee-1","body":1}`, `"outcome":"unknown"`},
+		"no idempotency key": {"/v1/execute", `{"service":"s","class":"c","key":"k","body":1}`, `"outcome":"refused"`},
+		"truncated body":     {"/v1/execute", `{"service":"s"`, `"outcome":"unknown"`},
+		"query":              {"/v1/query", `{"service":"s","class":"c","query":1}`, `"outcome":"refused"`},
 	}
 	h := caller.NewHandler(caller.Options{MaxBodyBytes: 1 << 10})
 	h.Refuse()
