--- a/node/entry/doc.go
+++ b/node/entry/doc.go
@@ -1,8 +1,7 @@
-// Package entry runs callers' read queries at the node that received them: it
-// admits them, drives the state machine of policy/query, and carries its
-// messages to the owners of the replicas. Its tables are shared by all queries
-// of a service.
+// Package entry runs read queries of callers at the node that received them. It
+// admits a query, drives the state machine of policy/query and sends subrequests to
+// the owners of the replicas. All queries of a service share its tables.
 //
 // Lock order: Entry.mu before tables.mu. No lock is held while a message is sent
-// or the fleet is asked.
+// or a method of Fleet is called.
 package entry
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -19,47 +19,47 @@
 )
 
 const (
-	// assembleMargin is kept of the deadline for assembling and sending the
-	// answer.
+	// assembleMargin is the part of the deadline reserved for assembling and
+	// sending the answer.
 	assembleMargin = 2 * time.Millisecond
-	// earlyPercent is the part of the deadline after which a service that
-	// prefers latency answers with the coverage reached, and earlyCoverage the
-	// least coverage for that.
-	earlyPercent  = 60
-	earlyCoverage = 0.9
+	// earlyAnswerPercent is the percentage of the deadline after which a service
+	// that prefers latency may return a partial answer. earlyAnswerCoverage is the
+	// minimum coverage of that answer.
+	earlyAnswerPercent  = 60
+	earlyAnswerCoverage = 0.9
 )
 
-// Errors of requests that no query can be made of.
+// Errors returned for a request that names an unknown service or class.
 var (
 	ErrUnknownService = errors.New("unknown service")
 	ErrUnknownClass   = errors.New("unknown class")
 )
 
-// Fleet is what an entry node asks about the other nodes.
+// Fleet provides the configuration and the owners of replicas.
 type Fleet interface {
 	Index() *config.Index
 	Owners(r *config.Replica) []fleet.Member
 	Self() fleet.Member
 	Ready() (bool, string)
-	// Suspected takes in that a call to a peer failed.
+	// Suspected reports a failed call to a peer to the failure detector.
 	Suspected(node string)
 }
 
-// Peers carries messages to other owners.
+// Peers sends messages to other owners.
 type Peers interface {
 	Scatter(ctx context.Context, to fleet.Member, req *pb.ScatterRequest, receive func(*pb.ScatterResponse)) ([]*pb.SubrequestResult, error)
 	Cancel(ctx context.Context, to fleet.Member, attempts []uint64) error
 	Execute(ctx context.Context, to fleet.Member, req *pb.ExecuteRequest) *pb.ExecuteResponse
 }
 
-// Local is the owner part of this node.
+// Local is the owner on this node.
 type Local interface {
 	Submit(ctx context.Context, req owner.Request, reply func(*pb.SubrequestResult))
 	Execute(ctx context.Context, req owner.Request) *pb.SubrequestResult
 	ReportsSince(service string, since uint64) ([]*pb.ReplicaNews, uint64)
 }
 
-// Options are the parts that an Entry is built from.
+// Options configures an Entry.
 type Options struct {
 	Fleet      Fleet
 	Peers      Peers
@@ -67,40 +67,41 @@
 	Ring       *ring.Ring
 	Metrics    *telemetry.Metrics
 	MaxQueries int
-	// Boot names this start of the node in attempt ids.
+	// Boot identifies this start of the node in attempt ids.
 	Boot uint64
 }
 
-// Entry runs callers' requests. Safe for concurrent use.
+// Entry runs requests of callers. Safe for concurrent use.
 type Entry struct {
 	Options
-	attempts atomic.Uint64
-	silent   silent
+	attempts     atomic.Uint64
+	unresponsive unresponsivePeers
 
 	// mu guards services.
 	mu       sync.Mutex
 	services map[string]*tables
 }
 
-// New returns an entry without any knowledge of replicas.
+// New returns an Entry without information about replicas.
 func New(o Options) *Entry {
 	return &Entry{Options: o, services: make(map[string]*tables)}
 }
 
-// Request is one caller's read request.
+// Request is a read request of a caller.
 type Request struct {
 	Service string
 	Class   string
 	Query   []byte
-	// Deadline is the time allowed; 0 takes the service's default.
+	// Deadline is relative to the start of the request; 0 selects the service's
+	// default.
 	Deadline time.Duration
 	Trace    bool
 }
 
-// Result is the answer to a request.
+// Result is the result of a read request.
 type Result struct {
 	*query.Answer
-	// Reason says why a refused request was refused.
+	// Reason is set for a refused request.
 	Reason        pb.Reason
 	RetryAfter    time.Duration
 	ConfigVersion uint64
@@ -118,12 +119,12 @@
 	return t
 }
 
-// Query runs a read request to its end.
+// Query runs a read request and returns its result.
 func (e *Entry) Query(ctx context.Context, req Request) (*Result, error) {
 	started := time.Now()
 	index := e.Fleet.Index()
 	if index == nil {
-		return refused(0, pb.Reason_REASON_UNREADY, time.Second), nil
+		return refusedResult(0, pb.Reason_REASON_UNREADY, time.Second), nil
 	}
 	svc := index.Services[req.Service]
 	if svc == nil {
@@ -133,40 +134,41 @@
 	if class == nil {
 		return nil, errors.Wrap(ErrUnknownClass, req.Class)
 	}
-	left := DeadlineFor(svc, req.Deadline)
+	timeLimit := DeadlineFor(svc, req.Deadline)
 	t := e.tablesOf(svc)
-	decision := t.admit(started, class, left-assembleMargin)
+	decision := t.admit(started, class, timeLimit-assembleMargin)
 	if !decision.Admitted() {
 		e.Ring.Add(ring.QueryRefused, svc.Name, decision.Reason.String())
 		e.Metrics.Refused(svc.Name, class.GetName(), decision.Reason)
-		return refused(index.Version, decision.Reason, decision.RetryAfter), nil
+		return refusedResult(index.Version, decision.Reason, decision.RetryAfter), nil
 	}
-	answer := e.run(ctx, svc, t, req, started.Add(left))
-	took := time.Since(started)
-	t.ended(time.Now(), class, took, !spoiltByLoad(answer))
-	e.observe(svc, class, answer, took, left)
+	answer := e.run(ctx, svc, t, req, started.Add(timeLimit))
+	elapsed := time.Since(started)
+	t.recordEnd(time.Now(), class, elapsed, !degradedByLoad(answer))
+	e.observe(svc, class, answer, elapsed, timeLimit)
 	return &Result{Answer: answer, ConfigVersion: index.Version}, nil
 }
 
-// DeadlineFor returns the time that a request of a service may take.
-func DeadlineFor(svc *config.Service, asked time.Duration) time.Duration {
-	if asked <= 0 {
+// DeadlineFor returns the deadline of a request: the requested one, limited to the
+// service's maximum, or the service's default.
+func DeadlineFor(svc *config.Service, requested time.Duration) time.Duration {
+	if requested <= 0 {
 		return svc.DefaultDeadline
 	}
-	return min(asked, svc.MaxDeadline)
+	return min(requested, svc.MaxDeadline)
 }
 
-func refused(version uint64, why pb.Reason, retryAfter time.Duration) *Result {
+func refusedResult(version uint64, reason pb.Reason, retryAfter time.Duration) *Result {
 	return &Result{
 		Answer:        &query.Answer{Outcome: query.Refused},
-		Reason:        why,
+		Reason:        reason,
 		RetryAfter:    retryAfter,
 		ConfigVersion: version,
 	}
 }
 
-// spoiltByLoad reports whether an answer is short because of load.
-func spoiltByLoad(answer *query.Answer) bool {
+// degradedByLoad reports whether shards are absent from an answer because of load.
+func degradedByLoad(answer *query.Answer) bool {
 	for _, absent := range answer.Absent {
 		switch absent.Reason {
 		case pb.Reason_REASON_DEADLINE, pb.Reason_REASON_LIMIT, pb.Reason_REASON_SHED:
@@ -176,7 +178,7 @@
 	return false
 }
 
-func (e *Entry) observe(svc *config.Service, class *pb.Class, answer *query.Answer, took, left time.Duration) {
+func (e *Entry) observe(svc *config.Service, class *pb.Class, answer *query.Answer, elapsed, timeLimit time.Duration) {
 	if answer.Outcome == query.Partial {
 		e.Ring.Add(ring.QueryPartial, svc.Name, answer.Absent[0].Shard+" "+answer.Absent[0].Reason.String())
 	}
@@ -185,10 +187,10 @@
 		Service:  svc.Name,
 		Class:    class.GetName(),
 		Outcome:  metricOutcome(answer.Outcome),
-		Took:     took,
+		Took:     elapsed,
 		Coverage: answer.Coverage,
 		Weight:   class.GetWeight(),
-		OnTime:   took <= left,
+		OnTime:   elapsed <= timeLimit,
 	})
 	for _, r := range answer.Results {
 		m.Subrequest(telemetry.Subrequest{
--- a/node/entry/env.go
+++ b/node/entry/env.go
@@ -9,36 +9,35 @@
 	"github.com/carobmill/carobmill/policy/snapshot"
 )
 
-// laggingPicks is one in how many picks also considers replicas whose last news
-// is older than the snapshot.
-const laggingPicks = 64
+// stalePickInterval sets the share of picks that also consider replicas whose last
+// report is older than the snapshot: 1 in stalePickInterval.
+const stalePickInterval = 64
 
-// env is the view that one query has of its service's tables. It implements
-// query.Env.
+// env implements query.Env for one query on the tables of its service.
 type env struct {
 	tables   *tables
 	svc      *config.Service
 	attempts *atomic.Uint64
 	usable   func(*config.Replica) bool
 	slowest  time.Duration
-	// now is the time of the event that the query is taking in.
+	// now is the time of the event that the query is processing.
 	now time.Time
-	// scratch holds the candidates of one Pick.
+	// scratch is a reused buffer for the candidates of one pick.
 	scratch []*config.Replica
 }
 
-// Pick implements query.Env. Replicas whose last news is older than the snapshot
-// come last, but for a small share of picks: most of them have taken up the
-// snapshot since, and a node that never asks them would never learn it.
+// Pick implements query.Env. A replica whose last report is older than the snapshot is
+// picked last, except in a small share of picks. Most such replicas have loaded the
+// snapshot since, and without requests to them this node would not detect that.
 func (e *env) Pick(shard *config.Shard, pinned uint64, tried func(*config.Replica) bool) *config.Replica {
 	e.tables.mu.Lock()
 	defer e.tables.mu.Unlock()
-	worst := snapshot.Unknown
-	if e.tables.rng.IntN(laggingPicks) == 0 {
-		worst = snapshot.MayHold
+	maxHolding := snapshot.Unknown
+	if e.tables.rng.IntN(stalePickInterval) == 0 {
+		maxHolding = snapshot.MayHold
 	}
-	for ; worst <= snapshot.MayHold; worst++ {
-		e.collect(shard, pinned, worst, tried)
+	for ; maxHolding <= snapshot.MayHold; maxHolding++ {
+		e.collect(shard, pinned, maxHolding, tried)
 		if r := e.tables.routing.Pick(e.scratch, e.now); r != nil {
 			return r
 		}
@@ -46,8 +45,8 @@
 	return nil
 }
 
-// PickHedge implements query.Env. A hedge asks only a replica that is known to
-// hold the snapshot and bears extra load.
+// PickHedge implements query.Env. A hedge is sent only to a replica that has reported
+// the snapshot and has capacity for extra load.
 func (e *env) PickHedge(shard *config.Shard, pinned uint64, tried func(*config.Replica) bool) *config.Replica {
 	e.tables.mu.Lock()
 	defer e.tables.mu.Unlock()
@@ -70,13 +69,13 @@
 	return r
 }
 
-// collect fills scratch with the usable replicas of a shard that were not tried
-// and of which at least that much is known about a snapshot. Caller holds
-// tables.mu.
-func (e *env) collect(shard *config.Shard, pinned uint64, worst snapshot.Holding, tried func(*config.Replica) bool) {
+// collect fills scratch with the usable replicas of a shard that were not tried and
+// whose holding of the snapshot is at most maxHolding, where a lower value is more
+// certain. Caller holds tables.mu.
+func (e *env) collect(shard *config.Shard, pinned uint64, maxHolding snapshot.Holding, tried func(*config.Replica) bool) {
 	e.scratch = e.scratch[:0]
 	for _, r := range shard.Replicas {
-		if tried(r) || !e.usable(r) || e.tables.snapshots.Holding(r.Name, pinned) > worst {
+		if tried(r) || !e.usable(r) || e.tables.snapshots.Holding(r.Name, pinned) > maxHolding {
 			continue
 		}
 		e.scratch = append(e.scratch, r)
@@ -110,9 +109,9 @@
 // HedgeAfter implements query.Env.
 func (e *env) HedgeAfter(answered, total int, elapsed time.Duration) time.Duration {
 	e.slowest = max(e.slowest, elapsed)
-	siblings := hedge.Progress{Answered: answered, Total: total, Slowest: e.slowest}
+	progress := hedge.Progress{Answered: answered, Total: total, Slowest: e.slowest}
 	e.tables.mu.Lock()
 	defer e.tables.mu.Unlock()
-	siblings.Overloaded = e.tables.admission.Pressure() >= 1
-	return hedge.After(siblings, &e.tables.latency)
+	progress.Overloaded = e.tables.admission.Pressure() >= 1
+	return hedge.After(progress, &e.tables.subrequestLatency)
 }
--- a/node/entry/execute.go
+++ b/node/entry/execute.go
@@ -10,19 +10,19 @@
 	"github.com/carobmill/carobmill/policy/query"
 )
 
-// Execute sends a non-idempotent request to one replica, once, and returns the
-// evidence that came back. The owner gives up after the request's timeout; ctx
-// may last longer, for the evidence to come back. It implements the sender of
-// package execute.
+// Execute sends a non-idempotent request once, to one replica, and returns the response
+// with the evidence. The owner cancels the request after its timeout. The deadline of
+// ctx may be later, so that the response can still arrive. Execute implements the
+// sender of package execute.
 func (e *Entry) Execute(ctx context.Context, replica *config.Replica, req *pb.ExecuteRequest) *pb.ExecuteResponse {
 	t := e.tablesOf(replica.Service)
 	req.Attempt = e.attempts.Add(1)
 	req.TypicalUs = uint64(t.typical().Microseconds())
 	sentAt := time.Now()
-	t.sent(sentAt, query.Send{Replica: replica})
+	t.recordSent(sentAt, query.Send{Replica: replica})
 	resp := e.execute(ctx, t, replica, req)
 	now := time.Now()
-	t.executed(now, replica.Name, resp, now.Sub(sentAt))
+	t.recordExecute(now, replica.Name, resp, now.Sub(sentAt))
 	return resp
 }
 
@@ -37,7 +37,7 @@
 	}
 	to := owners[0]
 	self := e.Fleet.Self().Name
-	if !t.firstOnly(replica) {
+	if !t.firstOwnerOnly(replica) {
 		for _, m := range owners {
 			if m.Name == self {
 				to = m
@@ -56,8 +56,8 @@
 	return owner.ToExecute(e.Local.Execute(ctx, owner.FromExecute(req, e.Boot)))
 }
 
-// Pick chooses a replica for a non-idempotent request, nil when none is left. It
-// implements the picker of package execute.
+// Pick chooses a replica for a non-idempotent request, or returns nil if none is left.
+// Pick implements the picker of package execute.
 func (e *Entry) Pick(shard *config.Shard, tried func(*config.Replica) bool) *config.Replica {
 	if len(shard.Replicas) == 0 {
 		return nil
--- a/node/entry/probe_test.go
+++ b/node/entry/probe_test.go
@@ -11,10 +11,9 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
-// A node's first queries, on a busy VM, took a little longer than the usual
-// deadline. Its callers must not read "deadline_too_short" ever after, while the
-// backend servers have long been fast: only admitted queries teach, so one is
-// admitted a second later, and its answer ends the refusals.
+// When the first queries of a node exceed the deadline of later queries, admission must
+// not refuse these for ever: only admitted queries update the expected latency.
+// Admission must let a probe pass after a second and recover when the probe succeeds.
 func TestAdmissionRecoversAfterSlowFirstQueries(t *testing.T) {
 	c := qt.New(t)
 	const left = 235 * time.Millisecond
@@ -23,7 +22,7 @@
 	class := &pb.Class{}
 	for range 50 {
 		c.Assert(tables.admit(now, class, time.Second).Admitted(), qt.IsTrue)
-		tables.ended(now, class, 245*time.Millisecond, true)
+		tables.recordEnd(now, class, 245*time.Millisecond, true)
 	}
 	refused := 0
 	for ms := range 3000 {
@@ -32,8 +31,8 @@
 			refused++
 			continue
 		}
-		// The first probe fails; one failure must not open the door.
-		tables.ended(at, class, 10*time.Millisecond, ms >= 1500)
+		// The first probe fails. Admission must continue to refuse queries.
+		tables.recordEnd(at, class, 10*time.Millisecond, ms >= 1500)
 	}
 	c.Assert(refused, qt.Equals, 1000+999)
 }
--- a/node/entry/result.go
+++ b/node/entry/result.go
@@ -5,10 +5,9 @@
 	"github.com/carobmill/carobmill/policy/routing"
 )
 
-// routingResult maps the reason of a result to what the choice of replicas
-// wants to know.
-func routingResult(why pb.Reason) routing.Result {
-	switch why {
+// routingResult maps the reason of a result to a result for the routing table.
+func routingResult(reason pb.Reason) routing.Result {
+	switch reason {
 	case pb.Reason_REASON_UNSPECIFIED, pb.Reason_REASON_NO_SNAPSHOT:
 		return routing.ResultOK
 	case pb.Reason_REASON_LIMIT, pb.Reason_REASON_COLD, pb.Reason_REASON_NOT_OWNER,
--- a/node/entry/run.go
+++ b/node/entry/run.go
@@ -13,26 +13,26 @@
 	"github.com/carobmill/carobmill/policy/query"
 )
 
-// cancelTimeout bounds telling an owner that results are no longer wanted.
+// cancelTimeout limits a call that cancels attempts at another owner.
 const cancelTimeout = time.Second
 
-// flight is an attempt under way.
-type flight struct {
+// attempt is an attempt in flight.
+type attempt struct {
 	replica string
-	// part that it was sent with; it names the owner.
-	part   *part
+	// group contains the owner that the attempt was sent to.
+	group  *ownerGroup
 	sentAt time.Time
 	// cancel is nil for an attempt at another node.
 	cancel context.CancelFunc
 }
 
-func (f *flight) end() {
-	if f.cancel != nil {
-		f.cancel()
+func (a *attempt) end() {
+	if a.cancel != nil {
+		a.cancel()
 	}
 }
 
-// runner carries out one query.
+// runner runs one query.
 type runner struct {
 	entry    *Entry
 	tables   *tables
@@ -41,16 +41,16 @@
 	deadline time.Time
 	query    *query.Query
 	env      *env
-	// ctx ends with the query, and with it whatever is still under way.
-	ctx     context.Context
-	replies *work.Inbox[*pb.SubrequestResult]
-	flights map[uint64]*flight
-	typical time.Duration
-	// landed is scratch space of take.
-	landed []landed
+	// ctx ends with the query and cancels everything still in flight.
+	ctx      context.Context
+	replies  *work.Inbox[*pb.SubrequestResult]
+	inFlight map[uint64]*attempt
+	typical  time.Duration
+	// results is a reused buffer of receive.
+	results []attemptResult
 }
 
-// run drives one query to its answer.
+// run executes one query and returns its answer.
 func (e *Entry) run(ctx context.Context, svc *config.Service, t *tables, req Request, deadline time.Time) *query.Answer {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -60,8 +60,8 @@
 		Trace:    req.Trace,
 	}
 	if svc.Spec.GetPreference() == pb.Preference_PREFERENCE_LATENCY {
-		params.EarlyAfter = time.Until(deadline) * earlyPercent / 100
-		params.EarlyCoverage = earlyCoverage
+		params.EarlyAfter = time.Until(deadline) * earlyAnswerPercent / 100
+		params.EarlyCoverage = earlyAnswerCoverage
 	}
 	shards := len(svc.Latest().Shards)
 	r := &runner{
@@ -72,7 +72,7 @@
 		deadline: deadline,
 		ctx:      ctx,
 		replies:  work.NewInbox[*pb.SubrequestResult](shards),
-		flights:  make(map[uint64]*flight, shards),
+		inFlight: make(map[uint64]*attempt, shards),
 		typical:  t.typical(),
 	}
 	r.env = &env{tables: t, svc: svc, attempts: &e.attempts, usable: e.usable}
@@ -81,20 +81,21 @@
 	return r.query.Answer()
 }
 
-// usable reports whether a replica may be asked: it is in service and some node
-// that owns it is alive.
+// usable reports whether a replica may be used: it is in service and at least one of
+// its owners may be called.
 func (e *Entry) usable(r *config.Replica) bool {
-	return r.InService && len(e.owners(e.Fleet.Owners(r), time.Now())) > 0
+	return r.InService && len(e.callableOwners(e.Fleet.Owners(r), time.Now())) > 0
 }
 
-// now is the time of an event that the query is about to take in.
-func (r *runner) now() time.Time {
+// eventTime returns the current time and sets it in env for the event that the query
+// processes next.
+func (r *runner) eventTime() time.Time {
 	r.env.now = time.Now()
 	return r.env.now
 }
 
 func (r *runner) loop() {
-	r.carry(r.query.Start(r.now()))
+	r.perform(r.query.Start(r.eventTime()))
 	timer := time.NewTimer(time.Until(r.query.NextTick()))
 	defer timer.Stop()
 	var replies []*pb.SubrequestResult
@@ -102,85 +103,85 @@
 		select {
 		case <-r.replies.Ready():
 			replies = r.replies.Take(replies)
-			r.take(r.now(), replies)
+			r.receive(r.eventTime(), replies)
 		case <-timer.C:
-			r.carry(r.query.Tick(r.now()))
+			r.perform(r.query.Tick(r.eventTime()))
 		case <-r.ctx.Done():
-			r.carry(r.query.Cancel(r.now()))
+			r.perform(r.query.Cancel(r.eventTime()))
 		}
 		timer.Reset(time.Until(r.query.NextTick()))
 	}
 }
 
-// take ends the attempts of results that came together, and hands the results to
-// the query.
-func (r *runner) take(now time.Time, replies []*pb.SubrequestResult) {
-	r.landed = r.landed[:0]
+// receive ends the attempts of a group of results and passes the results to the query.
+func (r *runner) receive(now time.Time, replies []*pb.SubrequestResult) {
+	r.results = r.results[:0]
 	for _, reply := range replies {
-		if f := r.flights[reply.GetAttempt()]; f != nil {
-			delete(r.flights, reply.GetAttempt())
-			f.end()
-			r.landed = append(r.landed, landed{result: reply, replica: f.replica, took: now.Sub(f.sentAt)})
+		if a := r.inFlight[reply.GetAttempt()]; a != nil {
+			delete(r.inFlight, reply.GetAttempt())
+			a.end()
+			r.results = append(r.results, attemptResult{result: reply, replica: a.replica, took: now.Sub(a.sentAt)})
 		}
 	}
-	r.tables.learn(now, r.landed)
+	r.tables.recordResults(now, r.results)
 	for _, reply := range replies {
-		// What comes with the last result that was waited for is not late.
+		// Results that arrive together with the last required result must not be
+		// processed as late results.
 		if r.query.Done() {
 			return
 		}
-		r.carry(r.query.Reply(now, reply))
+		r.perform(r.query.Reply(now, reply))
 	}
 }
 
-// carry does what the query asks for.
-func (r *runner) carry(step query.Step) {
+// perform sends and cancels the attempts of a step.
+func (r *runner) perform(step query.Step) {
 	if len(step.Cancel) > 0 {
-		r.abandon(step.Cancel)
+		r.cancel(step.Cancel)
 	}
 	if len(step.Send) > 0 {
 		r.send(step.Send)
 	}
 }
 
-// abandon withdraws attempts: local ones by their context, others by one message
-// to each owner.
-func (r *runner) abandon(cancelled []query.Cancelled) {
+// cancel cancels attempts: local attempts by their context, other attempts by one
+// message to each owner.
+func (r *runner) cancel(cancelled []query.Cancelled) {
 	now := time.Now()
 	self := r.entry.Fleet.Self().Name
 	remote := make(map[string][]uint64)
 	owners := make(map[string]fleet.Member)
 	for _, c := range cancelled {
-		f := r.flights[c.Attempt]
-		if f == nil {
+		a := r.inFlight[c.Attempt]
+		if a == nil {
 			continue
 		}
-		delete(r.flights, c.Attempt)
-		f.end()
-		r.tables.abandoned(now, f.replica, now.Sub(f.sentAt))
-		if to := f.part.to; to.Name != self {
+		delete(r.inFlight, c.Attempt)
+		a.end()
+		r.tables.recordCancelled(now, a.replica, now.Sub(a.sentAt))
+		if to := a.group.to; to.Name != self {
 			remote[to.Name] = append(remote[to.Name], c.Attempt)
 			owners[to.Name] = to
 		}
 	}
-	// The end of a query ends its streams, which cancels what they carry.
+	// When the query is done, its streams end and their attempts are cancelled.
 	if r.query.Done() {
 		return
 	}
 	for node, attempts := range remote {
-		go r.cancelAt(owners[node], attempts)
+		go r.sendCancel(owners[node], attempts)
 	}
 }
 
-func (r *runner) cancelAt(to fleet.Member, attempts []uint64) {
+func (r *runner) sendCancel(to fleet.Member, attempts []uint64) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.ctx), cancelTimeout)
 	defer cancel()
-	// A lost cancellation costs the backend server some work and nothing else.
+	// If the cancellation is lost, the backend server only does unnecessary work.
 	_ = r.entry.Peers.Cancel(ctx, to, attempts)
 }
 
-// part is the sends of one step that go to one owner, in one message.
-type part struct {
+// ownerGroup contains the sends of one step to one owner.
+type ownerGroup struct {
 	to    fleet.Member
 	sends []query.Send
 }
@@ -188,48 +189,48 @@
 // send groups attempts by owner and starts each group.
 func (r *runner) send(sends []query.Send) {
 	now := time.Now()
-	parts := make(map[string]*part)
-	// One array for all, which stays where it is.
-	flights := make([]flight, 0, len(sends))
+	groups := make(map[string]*ownerGroup)
+	// Pointers into attempts stay valid: the capacity suffices for all sends.
+	attempts := make([]attempt, 0, len(sends))
 	for _, s := range sends {
 		to, ok := r.ownerFor(s.Replica)
 		if !ok {
-			r.replies.Put(unowned(s))
+			r.replies.Put(noReplicaResult(s))
 			continue
 		}
-		p := parts[to.Name]
-		if p == nil {
-			p = &part{to: to}
-			parts[to.Name] = p
+		group := groups[to.Name]
+		if group == nil {
+			group = &ownerGroup{to: to}
+			groups[to.Name] = group
 		}
-		p.sends = append(p.sends, s)
-		flights = append(flights, flight{replica: s.Replica.Name, part: p, sentAt: now})
-		r.flights[s.Attempt] = &flights[len(flights)-1]
+		group.sends = append(group.sends, s)
+		attempts = append(attempts, attempt{replica: s.Replica.Name, group: group, sentAt: now})
+		r.inFlight[s.Attempt] = &attempts[len(attempts)-1]
 	}
-	for _, p := range parts {
-		r.tables.sent(now, p.sends...)
+	for _, group := range groups {
+		r.tables.recordSent(now, group.sends...)
 	}
 	self := r.entry.Fleet.Self().Name
-	for node, p := range parts {
+	for node, group := range groups {
 		if node == self {
-			r.sendLocal(p)
+			r.sendLocal(group)
 			continue
 		}
-		req := r.request(p)
-		go r.scatter(p.to, req)
+		req := r.request(group)
+		go r.scatter(group.to, req)
 	}
 }
 
-// ownerFor chooses the owner that a replica is reached through: this node itself,
-// or any. A replica that is not known to be warm, or whose service has silent cold
-// starts, has one: its first.
+// ownerFor chooses the owner to which the requests for a replica are sent: this node if
+// it is an owner, or a random owner. A replica that was not reported as warm, or whose
+// service has silent cold starts, is used only through its first owner.
 func (r *runner) ownerFor(replica *config.Replica) (fleet.Member, bool) {
 	ranked := r.entry.Fleet.Owners(replica)
-	owners := r.entry.owners(ranked, time.Now())
+	owners := r.entry.callableOwners(ranked, time.Now())
 	if len(owners) == 0 {
 		return fleet.Member{}, false
 	}
-	if r.tables.firstOnly(replica) {
+	if r.tables.firstOwnerOnly(replica) {
 		return ranked[0], owners[0].ID() == ranked[0].ID()
 	}
 	self := r.entry.Fleet.Self().Name
@@ -241,7 +242,7 @@
 	return owners[rand.IntN(len(owners))], true
 }
 
-func unowned(s query.Send) *pb.SubrequestResult {
+func noReplicaResult(s query.Send) *pb.SubrequestResult {
 	return &pb.SubrequestResult{
 		Attempt:  s.Attempt,
 		Shard:    s.Shard.Name,
@@ -251,14 +252,14 @@
 	}
 }
 
-func (r *runner) sendLocal(p *part) {
+func (r *runner) sendLocal(group *ownerGroup) {
 	self := r.entry.Fleet.Self().ID()
-	news, revision := r.entry.Local.ReportsSince(r.svc.Name, r.tables.heardUpTo(self))
-	r.tables.hear(time.Now(), self, news, revision)
+	reports, revision := r.entry.Local.ReportsSince(r.svc.Name, r.tables.reportRevision(self))
+	r.tables.applyReports(time.Now(), self, reports, revision)
 	reply := func(result *pb.SubrequestResult) { r.replies.Put(result) }
-	for _, s := range p.sends {
+	for _, s := range group.sends {
 		ctx, cancel := context.WithCancel(r.ctx)
-		r.flights[s.Attempt].cancel = cancel
+		r.inFlight[s.Attempt].cancel = cancel
 		r.entry.Local.Submit(ctx, owner.Request{
 			Service:    r.svc.Name,
 			Class:      r.req.Class,
@@ -275,21 +276,21 @@
 	}
 }
 
-func (r *runner) request(p *part) *pb.ScatterRequest {
+func (r *runner) request(group *ownerGroup) *pb.ScatterRequest {
 	req := &pb.ScatterRequest{
 		Service:    r.svc.Name,
 		Class:      r.req.Class,
-		Generation: p.sends[0].Generation,
-		Snapshot:   p.sends[0].Snapshot,
+		Generation: group.sends[0].Generation,
+		Snapshot:   group.sends[0].Snapshot,
 		Query:      r.req.Query,
 		TimeoutUs:  uint64(max(time.Until(r.deadline).Microseconds(), 0)),
 		TypicalUs:  uint64(r.typical.Microseconds()),
-		NewsSince:  r.tables.heardUpTo(p.to.ID()),
+		NewsSince:  r.tables.reportRevision(group.to.ID()),
 	}
-	// One array in place of an object a subrequest.
-	subs := make([]pb.Subrequest, len(p.sends))
-	req.Subrequests = make([]*pb.Subrequest, len(p.sends))
-	for i, s := range p.sends {
+	// A single allocation for all subrequests.
+	subs := make([]pb.Subrequest, len(group.sends))
+	req.Subrequests = make([]*pb.Subrequest, len(group.sends))
+	for i, s := range group.sends {
 		sub := &subs[i]
 		req.Subrequests[i] = sub
 		sub.Attempt, sub.Extra = s.Attempt, s.Extra
@@ -299,14 +300,14 @@
 }
 
 func (r *runner) scatter(to fleet.Member, req *pb.ScatterRequest) {
-	r.entry.silent.trying(to.ID(), time.Now())
+	r.entry.unresponsive.recordCall(to.ID(), time.Now())
 	missing, err := r.entry.Peers.Scatter(r.ctx, to, req, func(resp *pb.ScatterResponse) {
-		r.entry.silent.answered(to.ID())
-		r.tables.hear(time.Now(), to.ID(), resp.GetNews(), resp.GetNewsRevision())
+		r.entry.unresponsive.recordResponse(to.ID())
+		r.tables.applyReports(time.Now(), to.ID(), resp.GetNews(), resp.GetNewsRevision())
 		r.replies.Put(resp.GetResults()...)
 	})
 	if err != nil && r.ctx.Err() == nil {
-		r.entry.silent.failed(to.ID(), time.Now())
+		r.entry.unresponsive.recordFailure(to.ID(), time.Now())
 		r.entry.Fleet.Suspected(to.Name)
 	}
 	r.replies.Put(missing...)
--- a/node/entry/tables.go
+++ b/node/entry/tables.go
@@ -16,19 +16,21 @@
 )
 
 const (
-	// expectedQuantile is the query latency that admission reckons with.
+	// expectedQuantile is the quantile of query latency that admission expects.
 	expectedQuantile = 0.5
-	// typicalQuantile is what owners compare their replicas with.
+	// typicalQuantile is the quantile of service time that owners compare their
+	// replicas with.
 	typicalQuantile = 0.5
-	// hedgeBurst bounds the extra subrequests saved up in quiet times.
+	// hedgeBurst and retryBurst limit the hedges and retries that a budget can
+	// accumulate under low load.
 	hedgeBurst = 64
 	retryBurst = 64
-	// maxHeard bounds the boots of owners that are remembered; forgetting one
-	// costs one message with all its news.
-	maxHeard = 4096
+	// maxTrackedOwners limits the number of owner boots with a stored revision. An
+	// owner whose revision was dropped sends all its reports once more.
+	maxTrackedOwners = 4096
 )
 
-// tables is what the queries of one service share at this node.
+// tables is the state shared by all queries of a service at this node.
 type tables struct {
 	// mu guards everything below.
 	mu        sync.Mutex
@@ -37,35 +39,36 @@
 	routing   *routing.Table
 	hedges    *hedge.Budget
 	retries   *hedge.Budget
-	// latency is of subrequests as this node sees them, service of their part
-	// at the replica, whole is of queries.
-	latency   hedge.Quantile
-	service   hedge.Quantile
-	whole     hedge.Quantile
-	admission *admission.Controller
-	// probing is set while a query runs that whole alone would have refused.
+	// subrequestLatency is measured at this node, serviceTime at the replica.
+	// queryLatency covers the whole query.
+	subrequestLatency hedge.Quantile
+	serviceTime       hedge.Quantile
+	queryLatency      hedge.Quantile
+	admission         *admission.Controller
+	// probing is set while a query is in flight that was admitted as a probe,
+	// although its deadline is below the expected query latency.
 	probing bool
-	// heard is the revision of the news taken in, by owner.
-	heard map[membership.ID]uint64
+	// reportRevisions contains the last revision applied from each owner.
+	reportRevisions map[membership.ID]uint64
 }
 
 func newTables(svc *config.Service, maxQueries int, rng *rand.Rand) *tables {
 	return &tables{
-		rng:       rng,
-		snapshots: snapshot.NewTable(),
-		routing:   routing.New(rng),
-		hedges:    hedge.NewBudget(float64(svc.Spec.GetHedgePercent()), hedgeBurst),
-		retries:   hedge.NewBudget(float64(svc.Spec.GetRetryPercent()), retryBurst),
-		admission: admission.New(admission.Params{MaxRunning: maxQueries}),
-		heard:     make(map[membership.ID]uint64),
+		rng:             rng,
+		snapshots:       snapshot.NewTable(),
+		routing:         routing.New(rng),
+		hedges:          hedge.NewBudget(float64(svc.Spec.GetHedgePercent()), hedgeBurst),
+		retries:         hedge.NewBudget(float64(svc.Spec.GetRetryPercent()), retryBurst),
+		admission:       admission.New(admission.Params{MaxRunning: maxQueries}),
+		reportRevisions: make(map[membership.ID]uint64),
 	}
 }
 
-// admit decides on a query of a class that has the given time left.
+// admit decides on the admission of a query with the given remaining time.
 func (t *tables) admit(now time.Time, class *pb.Class, left time.Duration) admission.Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	expected := t.whole.At(expectedQuantile)
+	expected := t.queryLatency.At(expectedQuantile)
 	decision := t.admission.Admit(now, class.GetPriority(), left, expected)
 	t.probing = t.probing || decision.Probe
 	t.hedges.SetPressure(t.admission.Pressure())
@@ -73,23 +76,25 @@
 	return decision
 }
 
-// ended closes an admitted query. ok is false when load spoilt it.
-func (t *tables) ended(now time.Time, class *pb.Class, took time.Duration, ok bool) {
+// recordEnd records the end of an admitted query. ok is false if its answer is degraded
+// by load.
+func (t *tables) recordEnd(now time.Time, class *pb.Class, took time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.admission.Done(now, class.GetPriority(), took, ok)
 	if ok && t.probing {
-		// The times from before refused queries that can be answered.
-		t.whole = hedge.Quantile{}
+		// The earlier latencies are too high: they led to the refusal of queries
+		// that can be answered in time.
+		t.queryLatency = hedge.Quantile{}
 	}
 	t.probing = false
 	if ok {
-		t.whole.Observe(took)
+		t.queryLatency.Observe(took)
 	}
 }
 
-// sent counts subrequests on their way.
-func (t *tables) sent(now time.Time, sends ...query.Send) {
+// recordSent records the subrequests that are sent.
+func (t *tables) recordSent(now time.Time, sends ...query.Send) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range sends {
@@ -101,102 +106,103 @@
 	}
 }
 
-// landed is a result, the replica that was asked for it and the time that its
-// attempt took.
-type landed struct {
+// attemptResult is a result with the replica that its attempt was sent to and the
+// duration of the attempt.
+type attemptResult struct {
 	result  *pb.SubrequestResult
 	replica string
 	took    time.Duration
 }
 
-// learn takes in results that came together.
-func (t *tables) learn(now time.Time, results []landed) {
+// recordResults records results that arrived together.
+func (t *tables) recordResults(now time.Time, results []attemptResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, l := range results {
-		t.learnOne(now, l)
+	for _, result := range results {
+		t.recordResult(now, result)
 	}
 }
 
-// learnOne takes in one result. A crossed one names another replica than was asked,
-// or none; the attempt ends at the one that was asked. Caller holds mu.
-func (t *tables) learnOne(now time.Time, l landed) {
-	r := l.result
-	t.routing.Done(l.replica, now, l.took, routingResult(r.GetReason()))
+// recordResult records one result. The replica named in a mismatched result differs from
+// the one that the attempt was sent to, or is missing; the attempt ends at the replica
+// that it was sent to. Caller holds mu.
+func (t *tables) recordResult(now time.Time, attempt attemptResult) {
+	r := attempt.result
+	t.routing.Done(attempt.replica, now, attempt.took, routingResult(r.GetReason()))
 	if r.GetReason() == pb.Reason_REASON_UNSPECIFIED {
-		// Cold replicas are slow for a reason of their own; hedges wait for what
-		// is usual at warm ones.
+		// The latency of cold replicas must not increase the hedge delay, which is
+		// based on warm replicas.
 		if r.GetNews().GetState() == pb.ReplicaState_REPLICA_STATE_WARM {
-			t.latency.Observe(l.took)
+			t.subrequestLatency.Observe(attempt.took)
 		}
-		t.service.Observe(time.Duration(r.GetServiceUs()) * time.Microsecond)
+		t.serviceTime.Observe(time.Duration(r.GetServiceUs()) * time.Microsecond)
 	}
-	t.news(now, r.GetNews())
+	t.applyReport(now, r.GetNews())
 }
 
-// executed takes in the result of a non-idempotent request. Its time says nothing
-// about queries, so it stays out of their quantiles.
-func (t *tables) executed(now time.Time, replica string, resp *pb.ExecuteResponse, took time.Duration) {
+// recordExecute records the result of a non-idempotent request. Its latency is not added
+// to the quantiles, because it is unrelated to the latency of queries.
+func (t *tables) recordExecute(now time.Time, replica string, resp *pb.ExecuteResponse, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.routing.Done(replica, now, took, routingResult(resp.GetReason()))
-	t.news(now, resp.GetNews())
+	t.applyReport(now, resp.GetNews())
 }
 
-// typical is the time that the service's replicas take, 0 when unknown.
+// typical returns the typical service time of the service's replicas, 0 if unknown.
 func (t *tables) typical() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.service.At(typicalQuantile)
+	return t.serviceTime.At(typicalQuantile)
 }
 
-// abandoned ends an attempt whose result nobody waits for.
-func (t *tables) abandoned(now time.Time, replica string, took time.Duration) {
+// recordCancelled records the cancellation of an attempt.
+func (t *tables) recordCancelled(now time.Time, replica string, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.routing.Done(replica, now, took, routing.ResultCancelled)
 }
 
-// heardUpTo returns the revision up to which an owner's news was taken in.
-func (t *tables) heardUpTo(owner membership.ID) uint64 {
+// reportRevision returns the last revision of reports applied from an owner.
+func (t *tables) reportRevision(owner membership.ID) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.heard[owner]
+	return t.reportRevisions[owner]
 }
 
-// hear takes in what changed at an owner's replicas up to a revision; 0 means
-// that the message held no news.
-func (t *tables) hear(now time.Time, owner membership.ID, news []*pb.ReplicaNews, revision uint64) {
+// applyReports applies the reports of an owner up to a revision. Revision 0 means that
+// the message contained no reports.
+func (t *tables) applyReports(now time.Time, owner membership.ID, reports []*pb.ReplicaNews, revision uint64) {
 	if revision == 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, n := range news {
-		t.news(now, n)
+	for _, report := range reports {
+		t.applyReport(now, report)
 	}
-	if len(t.heard) > maxHeard {
-		clear(t.heard)
+	if len(t.reportRevisions) > maxTrackedOwners {
+		clear(t.reportRevisions)
 	}
-	t.heard[owner] = max(t.heard[owner], revision)
+	t.reportRevisions[owner] = max(t.reportRevisions[owner], revision)
 }
 
-// news takes in what an owner tells. Caller holds mu.
-func (t *tables) news(now time.Time, n *pb.ReplicaNews) {
-	if n == nil {
+// applyReport applies a report on a replica. Caller holds mu.
+func (t *tables) applyReport(now time.Time, report *pb.ReplicaNews) {
+	if report == nil {
 		return
 	}
-	t.routing.ApplyReport(n, now)
-	t.snapshots.Update(n.GetReplica(), snapshot.Range{
-		Oldest: n.GetOldestSnapshot(),
-		Newest: n.GetNewestSnapshot(),
+	t.routing.ApplyReport(report, now)
+	t.snapshots.Update(report.GetReplica(), snapshot.Range{
+		Oldest: report.GetOldestSnapshot(),
+		Newest: report.GetNewestSnapshot(),
 	})
 }
 
-// firstOnly reports whether a replica is to be reached through its first owner
-// alone: it is not known to be warm, or its service has silent cold starts. Any
-// other refuses.
-func (t *tables) firstOnly(replica *config.Replica) bool {
+// firstOwnerOnly reports whether a replica may be used only through its first owner:
+// the replica was not reported as warm, or its service has silent cold starts. Other
+// owners refuse requests for such a replica.
+func (t *tables) firstOwnerOnly(replica *config.Replica) bool {
 	if replica.Service.Spec.GetSilentColdStart() {
 		return true
 	}
