--- a/node/owner/batch.go
+++ b/node/owner/batch.go
@@ -11,28 +11,28 @@
 	"github.com/carobmill/carobmill/policy/limit"
 )
 
-// unservedRest is how long a replica that does not know the batch call gets single
-// calls. The sheet promises that it serves batches; one release or one server may
-// lag behind, and each try costs its subrequests a retry.
-const unservedRest = time.Minute
+// batchRetryInterval is the time before batches are tried again at a replica that
+// does not support the batch call although the sheet sets max_batch. Each failed
+// batch costs its subrequests a retry.
+const batchRetryInterval = time.Minute
 
-// coalescing is what the replica's service allows now. A replica that is not warm,
-// or that is under suspicion, gets single calls only, since a batch would take it
-// above what it bears in one step. Services whose replicas turn cold without a
-// sign get none at all: a batch that is under way then comes too late to be held
-// back. Caller holds mu.
-func (r *owned) coalescing(now time.Time) coalesce.Policy {
+// batchPolicy returns the batching policy that applies to the replica now. A replica
+// that is not warm, or that is suspected to be cold, receives single calls only: a
+// batch would exceed the load that a cold replica can handle. A service with silent
+// cold starts receives no batches, because a batch in flight cannot be recalled when
+// the replica turns cold. Caller holds mu.
+func (r *ownedReplica) batchPolicy(now time.Time) coalesce.Policy {
 	spec := r.replica.Service.Spec
-	if spec.GetSilentColdStart() || now.Before(r.singleUntil) || !r.limiter.MayQueue(now, 0) {
+	if spec.GetSilentColdStart() || now.Before(r.batchPausedUntil) || !r.limiter.MayQueue(now, 0) {
 		return coalesce.Policy{}
 	}
 	return coalesce.Policy{MaxBatch: int(spec.GetMaxBatch())}
 }
 
-// mayWait reports whether a task that found no place may join the queue. Caller
+// mayQueue reports whether a task that got no slot may wait in the queue. Caller
 // holds mu.
-func (r *owned) mayWait(t *task, now time.Time) bool {
-	policy := r.coalescing(now)
+func (r *ownedReplica) mayQueue(t *task, now time.Time) bool {
+	policy := r.batchPolicy(now)
 	if !r.limiter.MayQueue(now, policy.Calls(len(r.queue))) {
 		return false
 	}
@@ -44,17 +44,17 @@
 	return policy.MeetsDeadline(q, t.req.Typical, left)
 }
 
-// takeGroup removes from the queue the tasks that share the place that its head
-// has just got. A non-idempotent request goes alone: its evidence has to be its
-// own. Caller holds mu, and the queue is not empty.
-func (r *owned) takeGroup(now time.Time) []*task {
+// dequeueGroup removes from the queue the tasks that share the slot acquired for
+// the first task. A non-idempotent request is sent alone, because its evidence must
+// refer to that request only. Caller holds mu, and the queue is not empty.
+func (r *ownedReplica) dequeueGroup(now time.Time) []*task {
 	reads := 0
 	for reads < len(r.queue) && !r.queue[reads].req.Execute {
 		reads++
 	}
-	// The place of this call is taken already.
+	// InFlight already includes the slot of this call.
 	free := r.limiter.Limit() - r.limiter.InFlight() + 1
-	size := max(r.coalescing(now).BatchSize(coalesce.Queue{Waiting: reads}, free), 1)
+	size := max(r.batchPolicy(now).BatchSize(coalesce.Queue{Waiting: reads}, free), 1)
 	group := r.queue[:size:size]
 	r.queue = r.queue[size:]
 	for _, t := range group {
@@ -64,8 +64,8 @@
 	return group
 }
 
-// launch starts tasks that hold one place together.
-func (r *owned) launch(group []*task) {
+// startGroup starts tasks that share one slot.
+func (r *ownedReplica) startGroup(group []*task) {
 	if len(group) == 1 {
 		r.start(group[0])
 		return
@@ -73,21 +73,21 @@
 	if r.owner.Pool.Go(func() { r.runBatch(group) }) {
 		return
 	}
-	r.giveBack(limit.Sample{Result: limit.ResultNotSent, Items: len(group)})
+	r.releaseSlot(limit.Sample{Result: limit.ResultNotSent, Items: len(group)})
 	for _, t := range group {
 		refuse(t, pb.Reason_REASON_LIMIT, nil)
 	}
 }
 
-// runBatch carries tasks to the backend server in one call. Each is answered as
-// soon as its own reply is there.
-func (r *owned) runBatch(group []*task) {
+// runBatch sends tasks to the backend server in one call. Each task is answered as
+// soon as its own reply arrives.
+func (r *ownedReplica) runBatch(group []*task) {
 	started := time.Now()
 	r.mu.Lock()
 	replica := r.replica
 	r.mu.Unlock()
-	shared := &batchPlace{
-		place: place{replica: r, recent: r.owner.recentOf(replica.Service.Name)},
+	shared := &batchSlot{
+		slot:  slot{replica: r, latency: r.owner.latencyOf(replica.Service.Name)},
 		items: len(group),
 	}
 	items := make([]backend.Item, 0, len(group))
@@ -96,100 +96,101 @@
 		call := r.call(t.req)
 		items = append(items, backend.Item{Ctx: t.ctx, Call: call, Done: func(reply backend.Reply) {
 			r.mu.Lock()
-			r.learn(reply, time.Now())
-			news := r.news()
+			r.applyReply(reply, time.Now())
+			report := r.report()
 			r.mu.Unlock()
-			shared.answered(reply)
-			t.reply(t.result(reply, started, news))
+			shared.itemReplied(reply)
+			t.reply(t.result(reply, started, report))
 		}})
 	}
 	epoch := group[0].epoch
 	reply := r.owner.Backend.DoBatch(backend.Batch{
 		Replica: replica,
 		Items:   items,
-		Gate:    func() bool { return r.current(epoch) },
-		Settled: shared.settled,
+		Gate:    func() bool { return r.maySend(epoch) },
+		Settled: shared.serverDone,
 	})
 	if reply.Unserved {
-		r.restFromBatches(time.Now())
+		r.pauseBatching(time.Now())
 	}
 	shared.replied(reply)
 }
 
-// restFromBatches sends single calls for a while.
-func (r *owned) restFromBatches(now time.Time) {
+// pauseBatching disables batches for batchRetryInterval.
+func (r *ownedReplica) pauseBatching(now time.Time) {
 	r.mu.Lock()
-	r.singleUntil = now.Add(unservedRest)
+	r.batchPausedUntil = now.Add(batchRetryInterval)
 	r.mu.Unlock()
-	r.owner.Ring.Add(ring.BatchUnserved, r.name, "the backend server does not know the batch call")
+	r.owner.Ring.Add(ring.BatchUnserved, r.name, "the backend server does not support the batch call")
 }
 
-// batchPlace is the place of a batch in a replica's limit. It is judged by the
-// replies to its items instead of the reply to the call. The mutex of place guards
-// its fields too, but for items.
-type batchPlace struct {
-	place
+// batchSlot is the slot that a batch holds in a replica's concurrency limit. The
+// limiter observes the reply that completes the first half of the items, and the
+// outcome of the call only when that half is not reached. The mutex of slot also
+// guards the fields of batchSlot, except items.
+type batchSlot struct {
+	slot
 	items int
-	// replies that the replica gave, and whether it shed one of them.
+	// replies counts the replies of the replica; shed is set if one item was shed.
 	replies int
 	shed    bool
-	// judged is set once the limiter has heard of the batch's first half.
-	judged bool
-	// ended is set with the outcome of the call.
+	// observed is set when the limiter has observed the first half of the items.
+	observed bool
+	// ended is set when the call has ended.
 	ended bool
 }
 
-// answered counts the reply to one item, and judges the batch by the one that
-// completes its first half. It holds mu until the limiter has heard of it: the
-// place might be given back meanwhile, as the last item is given up.
-func (p *batchPlace) answered(reply backend.Reply) {
+// itemReplied counts the reply to one item and reports the reply that completes the
+// first half of the items to the limiter. It holds mu until the limiter is updated:
+// otherwise the slot could be released before, when the last item is cancelled.
+func (s *batchSlot) itemReplied(reply backend.Reply) {
 	result := resultOf(reply)
 	if result != limit.ResultOK && result != limit.ResultShed && result != limit.ResultError {
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.replies++
-	p.shed = p.shed || result == limit.ResultShed
-	if p.judged || p.ended || 2*p.replies < p.items {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.replies++
+	s.shed = s.shed || result == limit.ResultShed
+	if s.observed || s.ended || 2*s.replies < s.items {
 		return
 	}
-	p.judged = true
-	if p.shed {
+	s.observed = true
+	if s.shed {
 		result = limit.ResultShed
 	}
-	siblings := max(p.typical, p.recent.level())
+	peerLatency := max(s.typical, s.latency.value())
 	if reply.OK() {
-		p.recent.observe(reply.Took)
+		s.latency.observe(reply.Took)
 	}
-	p.replica.judge(limit.Sample{
+	s.replica.observeMedian(limit.Sample{
 		Latency:     reply.Took,
 		Result:      result,
-		PeerLatency: siblings,
+		PeerLatency: peerLatency,
 		ReportsCold: reply.Cold,
 	})
 }
 
-// judge tells the limiter how a batch does that goes on.
-func (r *owned) judge(sample limit.Sample) {
+// observeMedian reports the median reply of a batch in flight to the limiter.
+func (r *ownedReplica) observeMedian(sample limit.Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.limiter.ObserveMedian(time.Now(), sample)
-	r.noteState()
+	r.updateState()
 }
 
-// replied takes the outcome of the call as a whole.
-func (p *batchPlace) replied(reply backend.Reply) {
-	siblings := max(p.typical, p.recent.level())
-	p.mu.Lock()
-	p.ended = true
-	p.sample = limit.Sample{
+// replied records the outcome of the batch call.
+func (s *batchSlot) replied(reply backend.Reply) {
+	peerLatency := max(s.typical, s.latency.value())
+	s.mu.Lock()
+	s.ended = true
+	s.sample = limit.Sample{
 		Latency:        reply.Took,
 		Result:         resultOf(reply),
-		PeerLatency:    siblings,
-		Items:          p.items,
-		MedianObserved: p.judged,
+		PeerLatency:    peerLatency,
+		Items:          s.items,
+		MedianObserved: s.observed,
 	}
-	p.mu.Unlock()
-	p.half()
+	s.mu.Unlock()
+	s.complete()
 }
--- a/node/owner/doc.go
+++ b/node/owner/doc.go
@@ -1,8 +1,8 @@
 // Package owner runs subrequests and non-idempotent requests at the replicas
-// that this node owns. It alone talks to backend servers, so it is where
-// connection shares, limits on requests in flight and cold starts are kept.
+// that this node owns. All requests to backend servers pass through this package.
+// It enforces connection shares, concurrency limits and the rules for cold starts.
 //
-// Lock order: Owner.mu or place.mu, then owned.mu, then the locks of package
-// backend. No lock is held while a reply function is called or a backend server is
-// waited for.
+// Lock order: Owner.mu or slot.mu, then ownedReplica.mu, then the locks of package
+// backend. No lock is held while a reply function is called or while waiting for a
+// backend server.
 package owner
--- a/node/owner/owned.go
+++ b/node/owner/owned.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// cancelGrace is how long a cold replica may go on working on a request
-	// that was cancelled.
+	// cancelGrace is how long a cold replica may continue to process a cancelled
+	// request.
 	cancelGrace = 200 * time.Millisecond
-	// coldHoldDown exceeds the time that news takes between owners.
+	// coldHoldDown exceeds the propagation time of reports between owners.
 	coldHoldDown = time.Second
 )
 
@@ -25,53 +25,54 @@
 	req      Request
 	reply    func(*pb.SubrequestResult)
 	queuedAt time.Time
-	// epoch of the replica in which the task got its place.
+	// epoch is the replica's epoch when the task acquired its slot.
 	epoch uint64
 }
 
-// owned is one replica that this node owns.
-type owned struct {
+// ownedReplica is the state of a replica that this node owns.
+type ownedReplica struct {
 	owner *Owner
 	name  string
 
 	// mu guards everything below.
-	mu      sync.Mutex
-	replica *config.Replica
-	limiter *limit.Limiter
-	queue   []*task
-	held    snapshots
-	state   pb.ReplicaState
-	incarn  string
-	// told is set once the other owners know the state.
-	told bool
-	// planned is when a poll was last due, and jitter, from 0 to 1, spreads the
-	// next one over half an interval.
-	planned time.Time
-	jitter  float64
-	// heardAt is when the replica last said what it is.
-	heardAt time.Time
-	// verified is set while the replica is known to be the incarnation that the
-	// limiter was told about: a status poll has said so, and no connection was
-	// lost since. verifying is set while that poll runs. Each loss begins a new
-	// epoch, which ends requests that have not been written yet.
+	mu          sync.Mutex
+	replica     *config.Replica
+	limiter     *limit.Limiter
+	queue       []*task
+	snapshots   snapshotRange
+	state       pb.ReplicaState
+	incarnation string
+	// reported is set when the current state was sent to the other owners.
+	reported bool
+	// scheduledAt is the time at which the last poll was scheduled. jitter, from 0 to 1,
+	// spreads the next poll over half an interval.
+	scheduledAt time.Time
+	jitter      float64
+	// statusAt is the time of the last reply with an incarnation.
+	statusAt time.Time
+	// verified is set when a status poll has confirmed the incarnation and no
+	// connection was lost since. verifying is set while that poll runs. Each lost
+	// connection starts a new epoch; requests of an earlier epoch that are not
+	// written yet are refused.
 	verified  bool
 	verifying bool
 	epoch     uint64
-	// singleUntil is when batches may be tried again after one was not served.
-	singleUntil time.Time
-	// changed is the owner's revision at the last change of state or snapshots.
+	// batchPausedUntil is the time until which batches are disabled after the replica
+	// did not support the batch call.
+	batchPausedUntil time.Time
+	// changed is Owner.revision at the last change of state or snapshots.
 	changed uint64
 }
 
-// snapshots is the range of snapshots that a replica last said it holds.
-type snapshots struct {
+// snapshotRange is the range of snapshots that a replica last reported.
+type snapshotRange struct {
 	oldest, newest uint64
 }
 
-func newOwned(o *Owner, r *config.Replica) *owned {
+func newOwnedReplica(o *Owner, r *config.Replica) *ownedReplica {
 	share := o.share(r)
 	o.Backend.SetConnections(r.Name, share)
-	return &owned{
+	return &ownedReplica{
 		owner:   o,
 		name:    r.Name,
 		replica: r,
@@ -88,33 +89,34 @@
 	}
 }
 
-// mayUseCold asks the fleet, without the lock, whether this node alone may use
-// the replica while it is cold. Each question keeps a claim and its messages
-// going, so it is not asked about a warm replica, whose limit does not depend on
-// the answer, unless its service has silent cold starts.
-func (r *owned) mayUseCold(replica *config.Replica, warm bool) bool {
+// mayUseCold reports whether this node has the exclusive right to use the replica
+// while the replica is cold. Each call of Fleet.MayUseCold renews a claim, which
+// costs messages. It is therefore skipped for a warm replica, whose limit does not
+// depend on the result, unless the service has silent cold starts. Caller does not
+// hold mu.
+func (r *ownedReplica) mayUseCold(replica *config.Replica, warm bool) bool {
 	if warm && !replica.Service.Spec.GetSilentColdStart() {
 		return false
 	}
 	return r.owner.Fleet.MayUseCold(replica)
 }
 
-// restate tells the limiter what the sheet says of the replica, and this node's
-// part in it. Caller holds mu.
-func (r *owned) restate(now time.Time, replica *config.Replica, share int, first bool) {
+// updateLimiter sets the limiter's parameters from the sheet and from this node's
+// share. Caller holds mu.
+func (r *ownedReplica) updateLimiter(now time.Time, replica *config.Replica, share int, first bool) {
 	spec := replica.Service.Spec
 	r.limiter.SetCold(int(spec.GetColdInFlight()), spec.GetSilentColdStart())
 	r.limiter.SetShare(now, share, first)
 }
 
-func (r *owned) address() string {
+func (r *ownedReplica) address() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.replica.Address
 }
 
-// submit starts a task, queues it, or refuses it.
-func (r *owned) submit(t *task) {
+// submit starts, queues or refuses a task.
+func (r *ownedReplica) submit(t *task) {
 	r.mu.Lock()
 	replica := r.replica
 	warm := r.limiter.State() == pb.ReplicaState_REPLICA_STATE_WARM
@@ -123,60 +125,60 @@
 	share := r.owner.share(replica)
 	r.mu.Lock()
 	now := time.Now()
-	r.restate(now, replica, share, first)
-	why := r.acquire(t, now)
-	if why == pb.Reason_REASON_LIMIT && !t.req.Extra && r.mayWait(t, now) {
+	r.updateLimiter(now, replica, share, first)
+	reason := r.acquire(t, now)
+	if reason == pb.Reason_REASON_LIMIT && !t.req.Extra && r.mayQueue(t, now) {
 		r.queue = append(r.queue, t)
 		r.mu.Unlock()
 		context.AfterFunc(t.ctx, func() { r.expire(t) })
 		return
 	}
-	if why == pb.Reason_REASON_UNSPECIFIED {
+	if reason == pb.Reason_REASON_UNSPECIFIED {
 		r.mu.Unlock()
 		r.start(t)
 		return
 	}
-	news := r.news()
+	report := r.report()
 	r.mu.Unlock()
-	refuse(t, why, news)
+	refuse(t, reason, report)
 }
 
-// start hands a task that holds a place in the limit to a worker.
-func (r *owned) start(t *task) {
+// start passes a task that holds a slot to a worker.
+func (r *ownedReplica) start(t *task) {
 	if r.owner.Pool.Go(func() { r.run(t) }) {
 		return
 	}
-	r.giveBack(limit.Sample{Result: limit.ResultNotSent})
+	r.releaseSlot(limit.Sample{Result: limit.ResultNotSent})
 	refuse(t, pb.Reason_REASON_LIMIT, nil)
 }
 
-// run carries a task to the backend server. Its place in the limit is given back
-// when the backend server is rid of it, which for a cancelled request is later
-// than the reply to its sender.
-func (r *owned) run(t *task) {
+// run sends a task to the backend server. The slot is released when the backend
+// server has finished the request. For a cancelled request, that is after the reply
+// to the sender.
+func (r *ownedReplica) run(t *task) {
 	started := time.Now()
 	if t.ctx.Err() != nil {
-		r.giveBack(limit.Sample{Result: limit.ResultNotSent})
+		r.releaseSlot(limit.Sample{Result: limit.ResultNotSent})
 		refuse(t, pb.Reason_REASON_DEADLINE, nil)
 		return
 	}
-	place := &place{replica: r, recent: r.owner.recentOf(t.req.Service), typical: t.req.Typical}
+	acquired := &slot{replica: r, latency: r.owner.latencyOf(t.req.Service), typical: t.req.Typical}
 	call := r.call(t.req)
-	call.Settled = place.settled
-	call.Gate = func() bool { return r.current(t.epoch) }
-	ctx, end := r.patience(t)
+	call.Settled = acquired.serverDone
+	call.Gate = func() bool { return r.maySend(t.epoch) }
+	ctx, end := r.requestContext(t)
 	defer end()
 	reply := r.owner.Backend.Do(ctx, call)
 	r.mu.Lock()
-	r.learn(reply, time.Now())
-	news := r.news()
+	r.applyReply(reply, time.Now())
+	report := r.report()
 	r.mu.Unlock()
-	place.replied(reply)
-	t.reply(t.result(reply, started, news))
+	acquired.replied(reply)
+	t.reply(t.result(reply, started, report))
 }
 
-// result is what the task's sender hears of a reply. News may be nil.
-func (t *task) result(reply backend.Reply, started time.Time, news *pb.ReplicaNews) *pb.SubrequestResult {
+// result converts a reply for the sender of the task. The report may be nil.
+func (t *task) result(reply backend.Reply, started time.Time, report *pb.ReplicaNews) *pb.SubrequestResult {
 	return &pb.SubrequestResult{
 		Attempt:    t.req.Attempt,
 		Shard:      t.req.Shard,
@@ -188,11 +190,11 @@
 		Result:     reply.Result,
 		ServiceUs:  uint64(reply.Took.Microseconds()),
 		QueueUs:    uint64((started.Sub(t.queuedAt) + reply.Queued).Microseconds()),
-		News:       news,
+		News:       report,
 	}
 }
 
-func (r *owned) call(req Request) backend.Call {
+func (r *ownedReplica) call(req Request) backend.Call {
 	r.mu.Lock()
 	replica := r.replica
 	r.mu.Unlock()
@@ -209,8 +211,8 @@
 	}
 }
 
-func refuse(t *task, why pb.Reason, news *pb.ReplicaNews) {
-	result := notRun(t.req, why)
-	result.News = news
+func refuse(t *task, reason pb.Reason, report *pb.ReplicaNews) {
+	result := notRun(t.req, reason)
+	result.News = report
 	t.reply(result)
 }
--- a/node/owner/owner.go
+++ b/node/owner/owner.go
@@ -16,23 +16,23 @@
 	"github.com/carobmill/carobmill/policy/ownership"
 )
 
-// Fleet is what an owner asks about the other nodes.
+// Fleet provides the configuration and the ownership of replicas.
 type Fleet interface {
-	// Index is the configuration in force, nil when there is none.
+	// Index returns the current configuration, or nil when there is none.
 	Index() *config.Index
 	// Owners returns the nodes that own a replica, ranked.
 	Owners(r *config.Replica) []fleet.Member
-	// MayUseCold tells whether this node alone may use the replica while it is
-	// cold.
+	// MayUseCold reports whether this node has the exclusive right to use the
+	// replica while it is cold.
 	MayUseCold(r *config.Replica) bool
-	// OwnersPerReplica is how many nodes may own a replica at once.
+	// OwnersPerReplica returns the maximum number of nodes that own a replica.
 	OwnersPerReplica(r *config.Replica) int
 	Self() fleet.Member
-	// Revision rises whenever any of these answers may have changed.
+	// Revision increases whenever a result of the other methods may have changed.
 	Revision() uint64
 }
 
-// Backend carries calls to backend servers.
+// Backend sends calls to backend servers.
 type Backend interface {
 	Do(ctx context.Context, call backend.Call) backend.Reply
 	DoBatch(b backend.Batch) backend.Reply
@@ -42,13 +42,13 @@
 	Forget(replica string)
 }
 
-// Reporter tells another owner of a replica about its state, and returns what
-// that owner holds of it.
+// Reporter sends the state of a replica to another owner and returns the state that
+// the other owner has recorded.
 type Reporter interface {
 	ReportReplica(ctx context.Context, to fleet.Member, req *pb.ReportReplicaRequest) (*pb.ReportReplicaResponse, error)
 }
 
-// Options are the parts that an Owner is built from.
+// Options configures an Owner.
 type Options struct {
 	Fleet    Fleet
 	Backend  Backend
@@ -67,20 +67,20 @@
 	// revision counts changes of state and snapshots of the replicas.
 	revision atomic.Uint64
 
-	// background counts polls that were started out of turn.
+	// background counts polls started outside the poll interval.
 	background sync.WaitGroup
 
-	// mu guards replicas and recent.
+	// mu guards replicas and latencies.
 	mu       sync.Mutex
-	replicas map[string]*owned
-	// recent is by service.
-	recent map[string]*recent
+	replicas map[string]*ownedReplica
+	// latencies is indexed by service.
+	latencies map[string]*latencyAverage
 }
 
-// New returns an owner without replicas; they are taken up as the configuration
-// in force and the members say.
+// New returns an owner without replicas. Replicas are added from the current
+// configuration and membership.
 func New(o Options) *Owner {
-	return &Owner{Options: o, replicas: make(map[string]*owned), recent: make(map[string]*recent)}
+	return &Owner{Options: o, replicas: make(map[string]*ownedReplica), latencies: make(map[string]*latencyAverage)}
 }
 
 // Request is one subrequest or non-idempotent request at one replica.
@@ -90,33 +90,34 @@
 	Shard      string
 	Replica    string
 	Generation uint64
-	// Snapshot to serve; 0 leaves the choice to the replica. Unused by Execute.
+	// Snapshot to read; 0 lets the replica choose. Not used by Execute.
 	Snapshot uint64
 	Body     []byte
 	Attempt  uint64
-	// Sender is the boot of the node that drew Attempt.
+	// Sender is the boot of the node that assigned Attempt.
 	Sender uint64
-	// Extra marks a hedge, which never waits in a queue.
+	// Extra marks a hedge. A hedge is never queued.
 	Extra bool
-	// Typical is the time that the service's replicas take, 0 when unknown.
+	// Typical is the typical service time of the service's replicas, 0 if unknown.
 	Typical time.Duration
-	// Execute marks a non-idempotent request, with the id it has on every
-	// attempt.
+	// Execute marks a non-idempotent request. All its attempts have the same
+	// RequestID.
 	Execute   bool
 	RequestID string
 }
 
-// MaxMessageDuration is the longest time that a message can state: that of the longest deadline
-// that a sheet allows.
+// MaxMessageDuration is the longest duration accepted from a message: the longest
+// deadline that a sheet allows.
 const MaxMessageDuration = 600_000 * time.Millisecond
 
-// DurationFromMicroseconds is a time out of a message. What is longer than MaxMessageDuration counts as
-// that: a damaged message would else overflow, or hold a place for ever.
+// DurationFromMicroseconds converts a duration from a message and limits it to
+// MaxMessageDuration. Without the limit, a damaged message could overflow the
+// conversion or hold a slot for ever.
 func DurationFromMicroseconds(us uint64) time.Duration {
 	return time.Duration(min(us, uint64(MaxMessageDuration.Microseconds()))) * time.Microsecond
 }
 
-// FromExecute is the request of a message from the node with that boot.
+// FromExecute converts a message from the node with boot sender to a request.
 func FromExecute(req *pb.ExecuteRequest, sender uint64) Request {
 	return Request{
 		Service:    req.GetService(),
@@ -133,7 +134,7 @@
 	}
 }
 
-// ToExecute is the answer to such a message.
+// ToExecute converts the result of a non-idempotent request to a response message.
 func ToExecute(r *pb.SubrequestResult) *pb.ExecuteResponse {
 	return &pb.ExecuteResponse{
 		Attempt:  r.GetAttempt(),
@@ -145,7 +146,7 @@
 }
 
 // Submit runs a request and calls reply once, from another goroutine or before
-// it returns. The context carries deadline and cancellation.
+// Submit returns. The context sets the deadline and cancels the request.
 func (o *Owner) Submit(ctx context.Context, req Request, reply func(*pb.SubrequestResult)) {
 	replica, refused := o.admit(req)
 	if replica == nil {
@@ -164,7 +165,7 @@
 
 // admit returns the owned replica of a request, or the reason why this node may
 // not use it.
-func (o *Owner) admit(req Request) (*owned, pb.Reason) {
+func (o *Owner) admit(req Request) (*ownedReplica, pb.Reason) {
 	index := o.Fleet.Index()
 	if index == nil {
 		return nil, pb.Reason_REASON_UNREADY
@@ -173,19 +174,19 @@
 	if r == nil || r.Service.Name != req.Service {
 		return nil, pb.Reason_REASON_NOT_OWNER
 	}
-	// Backend servers that operators have taken out, and those of a data
-	// centre that is out, get no new work from any node that has the
-	// configuration in force, whatever the sender still believes.
+	// A backend server or data centre that operators have taken out of service
+	// receives no new requests, even if the sender has an older configuration.
 	if !r.InService {
 		return nil, pb.Reason_REASON_LEAVING
 	}
 	if o.rank(r) < 0 {
 		return nil, pb.Reason_REASON_NOT_OWNER
 	}
-	return o.owned(r), pb.Reason_REASON_UNSPECIFIED
+	return o.ensureReplica(r), pb.Reason_REASON_UNSPECIFIED
 }
 
-// rank returns this node's place among the owners of a replica, -1 for none.
+// rank returns this node's rank among the owners of a replica, or -1 if this node is
+// not an owner.
 func (o *Owner) rank(r *config.Replica) int {
 	return rankAmong(o.Fleet.Owners(r), o.Fleet.Self().Name)
 }
@@ -199,41 +200,42 @@
 	return -1
 }
 
-// owned returns the entry of a replica, made when this node first needs it.
-func (o *Owner) owned(r *config.Replica) *owned {
+// ensureReplica returns the state of an owned replica and creates the state if
+// necessary.
+func (o *Owner) ensureReplica(r *config.Replica) *ownedReplica {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	known := o.replicas[r.Name]
-	if known != nil && known.address() == r.Address {
-		return known
+	existing := o.replicas[r.Name]
+	if existing != nil && existing.address() == r.Address {
+		return existing
 	}
-	if known != nil {
-		// Another backend server stands behind the name now.
+	if existing != nil {
+		// The name now belongs to another backend server.
 		o.Backend.Forget(r.Name)
 	}
-	known = newOwned(o, r)
-	o.replicas[r.Name] = known
-	return known
+	existing = newOwnedReplica(o, r)
+	o.replicas[r.Name] = existing
+	return existing
 }
 
-// share returns the connections that this node may hold to a replica.
+// share returns the number of connections that this node may open to a replica.
 func (o *Owner) share(r *config.Replica) int {
 	return ownership.ConnectionShare(int(r.Service.Spec.GetConnections()), o.Fleet.OwnersPerReplica(r))
 }
 
-// list returns the owned entries.
-func (o *Owner) list() []*owned {
+// list returns the owned replicas.
+func (o *Owner) list() []*ownedReplica {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	list := make([]*owned, 0, len(o.replicas))
+	list := make([]*ownedReplica, 0, len(o.replicas))
 	for _, entry := range o.replicas {
 		list = append(list, entry)
 	}
 	return list
 }
 
-// release drops the entry of a replica that this node no longer owns.
-func (o *Owner) release(entry *owned) {
+// release removes a replica that this node no longer owns.
+func (o *Owner) release(entry *ownedReplica) {
 	o.mu.Lock()
 	if o.replicas[entry.name] == entry {
 		delete(o.replicas, entry.name)
@@ -242,10 +244,10 @@
 	o.Backend.Forget(entry.name)
 }
 
-// maxAttemptID is the length of the longest attempt id: 16 digits, a dash, 20 digits.
+// maxAttemptID is the maximum length of an attempt id: 16 digits, a dash, 20 digits.
 const maxAttemptID = 37
 
-// attemptID names an attempt so that it differs across nodes and restarts.
+// attemptID returns an id that is unique across nodes and restarts.
 func attemptID(req Request) string {
 	id := make([]byte, 0, maxAttemptID)
 	id = strconv.AppendUint(id, req.Sender, 16)
@@ -253,12 +255,12 @@
 	return string(strconv.AppendUint(id, req.Attempt, 10))
 }
 
-func notRun(req Request, why pb.Reason) *pb.SubrequestResult {
+func notRun(req Request, reason pb.Reason) *pb.SubrequestResult {
 	return &pb.SubrequestResult{
 		Attempt:  req.Attempt,
 		Shard:    req.Shard,
 		Replica:  req.Replica,
-		Reason:   why,
+		Reason:   reason,
 		Evidence: pb.Evidence_EVIDENCE_NOT_RUN,
 	}
 }
--- a/node/owner/poll.go
+++ b/node/owner/poll.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// pollTimeout bounds one status poll or report.
+	// pollTimeout limits a status poll together with the reports that follow it.
 	pollTimeout = time.Second
-	// pollTicks is how many rounds share one poll interval, so that the polls
-	// of many replicas spread over it.
-	pollTicks = 10
-	// longestTick bounds the time between two rounds whatever the poll interval:
-	// each takes the right to a cold replica away from the limiter once the fleet
-	// does, and that must happen well within the margin of claims.
-	longestTick = 100 * time.Millisecond
-	// idlePolls is how many status polls a second this node spends on all its warm
-	// replicas without traffic together. One poll writes 81 bytes: at an interval
-	// of a second, 37 idle replicas would take 3.0 of the 4 KB/s that a node has
-	// for control. What is found by such a poll is found somewhat later; a lost
-	// connection or a request finds it at once.
-	idlePolls = 10
+	// roundsPerPollInterval is the number of rounds over which the polls of the
+	// replicas are spread.
+	roundsPerPollInterval = 10
+	// maxRoundInterval limits the time between two rounds for any poll interval. A round
+	// withdraws the right to use a cold replica from the limiter when this node's
+	// claim has expired. The delay must be well below the safety margin of claims.
+	maxRoundInterval = 100 * time.Millisecond
+	// maxWarmPollsPerSecond limits the rate of status polls of all warm replicas
+	// without traffic together. A poll writes 81 bytes: at an interval of a second, 37 idle
+	// replicas would use 3.0 of the 4 KB/s that a node has for control messages. The
+	// limit delays only what these polls detect; a lost connection or a request
+	// detects a restart at once.
+	maxWarmPollsPerSecond = 10
 )
 
-// Run polls the owned replicas until the context ends. Polls find restarts and
-// snapshots that no query has met yet; their load reports lag and mislead, so
-// they never raise a limit.
+// Run polls the owned replicas until the context ends. Polls detect restarts and
+// snapshots before a query encounters them. The load reported by a poll may be
+// outdated, so polls never raise a concurrency limit.
 func (o *Owner) Run(ctx context.Context) {
 	defer o.background.Wait()
-	ticker := time.NewTicker(min(max(o.PollInterval/pollTicks, time.Millisecond), longestTick))
+	ticker := time.NewTicker(min(max(o.PollInterval/roundsPerPollInterval, time.Millisecond), maxRoundInterval))
 	defer ticker.Stop()
 	var seen uint64
 	for {
@@ -42,33 +42,34 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			// Read before the work: a change that comes meanwhile is seen next.
+			// The revision is read first, so that the next round detects a change
+			// that happens during this one.
 			if revision := o.Fleet.Revision(); revision != seen {
-				o.takeUp()
+				o.updateOwned()
 				seen = revision
 			}
-			o.tend(ctx, now)
+			o.pollRound(ctx, now)
 		}
 	}
 }
 
-// takeUp follows a change of configuration or owners: it starts entries for the
-// replicas that this node owns now.
-func (o *Owner) takeUp() {
+// updateOwned applies a change of configuration or ownership: it adds and updates the
+// replicas that this node owns.
+func (o *Owner) updateOwned() {
 	index := o.Fleet.Index()
 	if index == nil {
 		return
 	}
 	for _, r := range index.Replicas {
 		if r.InService && o.rank(r) >= 0 {
-			o.owned(r).define(r)
+			o.ensureReplica(r).setDefinition(r)
 		}
 	}
 }
 
-// tend looks after each owned replica: it renews the claim to a cold one, polls
-// those that are due, and drops those that this node has lost once they are idle.
-func (o *Owner) tend(ctx context.Context, now time.Time) {
+// pollRound renews the claims of cold replicas and starts the polls that are due. It
+// releases replicas that this node no longer owns when they are idle.
+func (o *Owner) pollRound(ctx context.Context, now time.Time) {
 	index := o.Fleet.Index()
 	if index == nil {
 		return
@@ -83,36 +84,36 @@
 			}
 			continue
 		}
-		entry.renew(r)
+		entry.renewClaim(r)
 		if entry.pollDue(now, warmInterval) {
 			o.Pool.Go(func() { entry.poll(ctx) })
 		}
 	}
 }
 
-// warmInterval is the time between two polls of a warm replica without traffic:
-// the poll interval, or longer when the node has so many warm replicas that they
-// would exceed idlePolls together.
-func (o *Owner) warmInterval(entries []*owned) time.Duration {
+// warmInterval returns the time between two polls of a warm replica without traffic.
+// It exceeds the poll interval if the polls of all warm replicas would otherwise
+// exceed maxWarmPollsPerSecond.
+func (o *Owner) warmInterval(entries []*ownedReplica) time.Duration {
 	warm := 0
 	for _, entry := range entries {
 		if entry.warm() {
 			warm++
 		}
 	}
-	return max(o.PollInterval, time.Duration(warm)*time.Second/idlePolls)
+	return max(o.PollInterval, time.Duration(warm)*time.Second/maxWarmPollsPerSecond)
 }
 
-func (r *owned) warm() bool {
+func (r *ownedReplica) warm() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state == pb.ReplicaState_REPLICA_STATE_WARM
 }
 
-// pollDue reports whether the replica is to be polled now, and plans when to ask
-// next, with some jitter. A replica that is not warm is asked at the poll
-// interval, also when its last poll was planned while it was warm.
-func (r *owned) pollDue(now time.Time, warmInterval time.Duration) bool {
+// pollDue reports whether the replica should be polled now and schedules the next
+// poll with jitter. A replica that is not warm is polled at the poll interval, even if
+// its last poll was scheduled while it was warm.
+func (r *ownedReplica) pollDue(now time.Time, warmInterval time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	warm := r.state == pb.ReplicaState_REPLICA_STATE_WARM
@@ -121,18 +122,19 @@
 		interval = warmInterval
 	}
 	least := interval * 3 / 4
-	if now.Sub(r.planned) < least+time.Duration(r.jitter*float64(interval)/2) {
+	if now.Sub(r.scheduledAt) < least+time.Duration(r.jitter*float64(interval)/2) {
 		return false
 	}
-	r.planned = now
+	r.scheduledAt = now
 	r.jitter = rand.Float64()
-	// Replies tell the same as a poll, so a warm replica with traffic needs none.
-	return !warm || now.Sub(r.heardAt) >= least
+	// Replies contain the same status as a poll, so a warm replica with traffic is
+	// not polled.
+	return !warm || now.Sub(r.statusAt) >= least
 }
 
-// define takes over a changed definition of the replica and keeps its share of
-// connections.
-func (r *owned) define(replica *config.Replica) {
+// setDefinition applies the current definition of the replica and sets this node's
+// share of its connections.
+func (r *ownedReplica) setDefinition(replica *config.Replica) {
 	share := r.owner.share(replica)
 	r.mu.Lock()
 	r.replica = replica
@@ -140,29 +142,28 @@
 	r.owner.Backend.SetConnections(r.name, share)
 }
 
-// renew tells the limiter this node's share and whether it alone may use the
-// replica while it is cold.
-func (r *owned) renew(replica *config.Replica) {
+// renewClaim updates the limiter with this node's share and its right to use the
+// replica while the replica is cold.
+func (r *ownedReplica) renewClaim(replica *config.Replica) {
 	share := r.owner.share(replica)
 	r.mu.Lock()
 	warm := r.limiter.State() == pb.ReplicaState_REPLICA_STATE_WARM
 	r.mu.Unlock()
 	first := r.mayUseCold(replica, warm)
 	r.mu.Lock()
-	r.restate(time.Now(), replica, share, first)
+	r.updateLimiter(time.Now(), replica, share, first)
 	r.mu.Unlock()
 }
 
-// idle reports whether nothing is running or waiting.
-func (r *owned) idle() bool {
+// idle reports whether no request is in flight or queued.
+func (r *ownedReplica) idle() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.limiter.InFlight() == 0 && len(r.queue) == 0
 }
 
-// poll asks the replica for its status and squares its state with the other
-// owners.
-func (r *owned) poll(ctx context.Context) {
+// poll requests the replica's status and exchanges the state with the other owners.
+func (r *ownedReplica) poll(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	r.mu.Lock()
@@ -176,69 +177,70 @@
 		return
 	}
 	r.mu.Lock()
-	r.learn(reply, time.Now())
+	r.applyReply(reply, time.Now())
 	r.verified = reply.OK() && epoch == r.epoch
-	news := r.news()
+	report := r.report()
 	r.mu.Unlock()
-	r.exchange(ctx, replica, news)
+	r.exchange(ctx, replica, report)
 }
 
-// exchange settles the state of a replica between its owners. The first owner
-// decides when it is warm; the others ask, and report signs of a cold start.
-// Without this a second owner would send to a replica that the first one still
-// warms up, and both together would exceed what it bears.
-func (r *owned) exchange(ctx context.Context, replica *config.Replica, news *pb.ReplicaNews) {
+// exchange synchronises the state of a replica between its owners. The first owner
+// decides when the replica is warm. Another owner whose state is not warm reports to
+// the first owner and applies its answer. Without this, a second owner would send to a
+// replica that the first owner still warms up, and together they would overload it.
+func (r *ownedReplica) exchange(ctx context.Context, replica *config.Replica, report *pb.ReplicaNews) {
 	owners := r.owner.Fleet.Owners(replica)
 	if len(owners) == 0 {
 		return
 	}
 	self := r.owner.Fleet.Self().Name
 	if owners[0].Name == self {
-		r.tellOthers(ctx, replica, owners[1:], news)
+		r.reportToOthers(ctx, replica, owners[1:], report)
 		return
 	}
-	if news.GetState() == pb.ReplicaState_REPLICA_STATE_WARM {
+	if report.GetState() == pb.ReplicaState_REPLICA_STATE_WARM {
 		return
 	}
-	answer, err := r.owner.Reporter.ReportReplica(ctx, owners[0], r.report(replica, news))
+	answer, err := r.owner.Reporter.ReportReplica(ctx, owners[0], r.reportRequest(replica, report))
 	if err != nil {
 		return
 	}
 	for _, n := range answer.GetNews() {
-		r.hear(n, true)
+		r.applyReport(n, true)
 	}
 }
 
-// tellOthers sends a state that changed to the other owners, and a cold one
-// again and again, since a lost message would leave them sending.
-func (r *owned) tellOthers(ctx context.Context, replica *config.Replica, others []fleet.Member, news *pb.ReplicaNews) {
+// reportToOthers sends a changed state to the other owners. A state that is not warm
+// is sent after every poll: if a single message were lost, the other owners would
+// continue to send requests.
+func (r *ownedReplica) reportToOthers(ctx context.Context, replica *config.Replica, others []fleet.Member, report *pb.ReplicaNews) {
 	r.mu.Lock()
-	changed := !r.told
-	r.told = true
+	changed := !r.reported
+	r.reported = true
 	r.mu.Unlock()
-	if !changed && news.GetState() == pb.ReplicaState_REPLICA_STATE_WARM {
+	if !changed && report.GetState() == pb.ReplicaState_REPLICA_STATE_WARM {
 		return
 	}
 	for _, other := range others {
-		if _, err := r.owner.Reporter.ReportReplica(ctx, other, r.report(replica, news)); err != nil {
+		if _, err := r.owner.Reporter.ReportReplica(ctx, other, r.reportRequest(replica, report)); err != nil {
 			r.mu.Lock()
-			r.told = false
+			r.reported = false
 			r.mu.Unlock()
 		}
 	}
 }
 
-func (r *owned) report(replica *config.Replica, news *pb.ReplicaNews) *pb.ReportReplicaRequest {
-	return &pb.ReportReplicaRequest{Service: replica.Service.Name, News: []*pb.ReplicaNews{news}}
+func (r *ownedReplica) reportRequest(replica *config.Replica, report *pb.ReplicaNews) *pb.ReportReplicaRequest {
+	return &pb.ReportReplicaRequest{Service: replica.Service.Name, News: []*pb.ReplicaNews{report}}
 }
 
-// hear takes in what another owner says. Only the first owner's word makes the
-// replica warm; a cold sign counts from anyone.
-func (r *owned) hear(news *pb.ReplicaNews, fromFirst bool) {
+// applyReport applies a report from another owner. Only the first owner can make the
+// replica warm; other states are accepted from any owner.
+func (r *ownedReplica) applyReport(report *pb.ReplicaNews, fromFirst bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	switch news.GetState() {
+	switch report.GetState() {
 	case pb.ReplicaState_REPLICA_STATE_WARM:
 		if fromFirst {
 			r.limiter.ObserveWarm(now)
@@ -248,13 +250,14 @@
 	case pb.ReplicaState_REPLICA_STATE_DRAINING:
 		r.limiter.Observe(now, limit.SignalDraining)
 	}
-	if news.GetNewestSnapshot() > r.held.newest {
-		r.hold(snapshots{oldest: news.GetOldestSnapshot(), newest: news.GetNewestSnapshot()})
+	if report.GetNewestSnapshot() > r.snapshots.newest {
+		r.setSnapshots(snapshotRange{oldest: report.GetOldestSnapshot(), newest: report.GetNewestSnapshot()})
 	}
-	r.noteState()
+	r.updateState()
 }
 
-// HandleReport answers another owner's report with what this node holds.
+// HandleReport applies a report from another owner and returns this node's state of
+// the same replicas.
 func (o *Owner) HandleReport(sender string, req *pb.ReportReplicaRequest) *pb.ReportReplicaResponse {
 	answer := &pb.ReportReplicaResponse{}
 	index := o.Fleet.Index()
@@ -270,21 +273,21 @@
 		if rankAmong(owners, o.Fleet.Self().Name) < 0 {
 			continue
 		}
-		entry := o.owned(r)
+		entry := o.ensureReplica(r)
 		senderFirst := owners[0].Name == sender
-		// A second owner is cold until it hears from the first one; that is no
-		// sign of the replica itself.
+		// Another owner starts in the cold state until it receives the state from
+		// the first owner. Its report does not indicate a cold start.
 		if senderFirst || n.GetState() == pb.ReplicaState_REPLICA_STATE_DRAINING {
-			entry.hear(n, senderFirst)
+			entry.applyReport(n, senderFirst)
 		}
 		entry.mu.Lock()
-		answer.News = append(answer.News, entry.news())
+		answer.News = append(answer.News, entry.report())
 		entry.mu.Unlock()
 	}
 	return answer
 }
 
-// InFlight returns the requests that this node has at a replica.
+// InFlight returns the number of requests of this node in flight at a replica.
 func (o *Owner) InFlight(replica string) int {
 	o.mu.Lock()
 	entry := o.replicas[replica]
@@ -297,27 +300,27 @@
 	return entry.limiter.InFlight()
 }
 
-// ReportsSince returns what changed at the replicas of a service since a revision, and
-// the revision to ask from next. Entry nodes learn by it of replicas that they do
-// not ask at present, and so would leave out for good: lost or cold ones that are
-// back, and those that have taken up a new snapshot.
+// ReportsSince returns reports on the replicas of a service that changed after a
+// revision, and the revision for the next call. Without these reports, an entry node
+// would never again use a replica to which it sends no requests at present: a lost or
+// cold replica that has recovered, or a replica that has loaded a new snapshot.
 func (o *Owner) ReportsSince(service string, since uint64) ([]*pb.ReplicaNews, uint64) {
 	revision := o.revision.Load()
 	if revision == since {
 		return nil, revision
 	}
-	var news []*pb.ReplicaNews
+	var reports []*pb.ReplicaNews
 	for _, entry := range o.list() {
 		entry.mu.Lock()
 		if entry.changed > since && entry.replica.Service.Name == service {
-			news = append(news, entry.news())
+			reports = append(reports, entry.report())
 		}
 		entry.mu.Unlock()
 	}
-	return news, revision
+	return reports, revision
 }
 
-// Status lists the owned replicas for operators.
+// Status returns the owned replicas for the operator interface.
 func (o *Owner) Status() []*pb.OwnedReplica {
 	index := o.Fleet.Index()
 	if index == nil {
@@ -330,13 +333,13 @@
 			continue
 		}
 		entry.mu.Lock()
-		news := entry.news()
+		report := entry.report()
 		entry.mu.Unlock()
 		list = append(list, &pb.OwnedReplica{
 			Service:         r.Service.Name,
 			Replica:         r.Name,
 			Rank:            uint32(max(o.rank(r), 0)),
-			News:            news,
+			News:            report,
 			Connections:     uint32(o.Backend.Connections(r.Name)),
 			ConnectionLimit: uint32(o.share(r)),
 		})
--- a/node/owner/queue.go
+++ b/node/owner/queue.go
@@ -8,52 +8,52 @@
 	"github.com/carobmill/carobmill/policy/limit"
 )
 
-// giveBack returns a place to the limit and starts the tasks that may go now.
-func (r *owned) giveBack(sample limit.Sample) {
+// releaseSlot releases a slot and starts the queued tasks that may run now.
+func (r *ownedReplica) releaseSlot(sample limit.Sample) {
 	r.mu.Lock()
 	now := time.Now()
 	r.limiter.Release(now, sample)
-	r.noteState()
-	next, refused, why := r.takeQueued(now)
-	var news *pb.ReplicaNews
+	r.updateState()
+	next, refused, reason := r.dequeue(now)
+	var report *pb.ReplicaNews
 	if len(refused) > 0 {
-		news = r.news()
+		report = r.report()
 	}
 	r.mu.Unlock()
-	r.settle(next, refused, why, news)
+	r.dispatch(next, refused, reason, report)
 }
 
-// settle starts and refuses the tasks that a look at the queue has decided on.
-func (r *owned) settle(start [][]*task, refused []*task, why pb.Reason, news *pb.ReplicaNews) {
+// dispatch starts and refuses tasks that were removed from the queue.
+func (r *ownedReplica) dispatch(start [][]*task, refused []*task, reason pb.Reason, report *pb.ReplicaNews) {
 	for _, t := range refused {
-		refuse(t, why, news)
+		refuse(t, reason, report)
 	}
 	for _, group := range start {
-		r.launch(group)
+		r.startGroup(group)
 	}
 }
 
-// expire refuses a task that is still queued when its context ends. A place that
-// comes free would find it, but none may: the requests in flight can hang, and
-// whoever waits for this one would hang with them.
-func (r *owned) expire(t *task) {
+// expire refuses a task that is still queued when its context ends. Without it, the
+// sender would wait until a slot is released, which may never happen if the requests
+// in flight hang.
+func (r *ownedReplica) expire(t *task) {
 	r.mu.Lock()
 	i := slices.Index(r.queue, t)
 	if i >= 0 {
 		r.queue = slices.Delete(r.queue, i, i+1)
 	}
-	news := r.news()
+	report := r.report()
 	r.mu.Unlock()
 	if i >= 0 {
-		refuse(t, pb.Reason_REASON_DEADLINE, news)
+		refuse(t, pb.Reason_REASON_DEADLINE, report)
 	}
 }
 
-// takeQueued moves tasks from the queue into the limit. Tasks whose deadline
-// has passed, and all when the replica may not be used any more, are refused.
-// Tasks of one group go in one call and hold one place.
-func (r *owned) takeQueued(now time.Time) (start [][]*task, refused []*task, why pb.Reason) {
-	why = pb.Reason_REASON_DEADLINE
+// dequeue acquires slots for queued tasks. It returns the tasks to start, grouped by
+// call, and the tasks to refuse: those whose context has ended, or all remaining tasks
+// when the replica may not be used any more. The tasks of a group share one slot.
+func (r *ownedReplica) dequeue(now time.Time) (start [][]*task, refused []*task, reason pb.Reason) {
+	reason = pb.Reason_REASON_DEADLINE
 	for len(r.queue) > 0 {
 		t := r.queue[0]
 		if t.ctx.Err() != nil {
@@ -63,14 +63,14 @@
 		}
 		got := r.acquire(t, now)
 		if got == pb.Reason_REASON_LIMIT {
-			return start, refused, why
+			return start, refused, reason
 		}
 		if got != pb.Reason_REASON_UNSPECIFIED {
 			refused = append(refused, r.queue...)
 			r.queue = nil
 			return start, refused, got
 		}
-		start = append(start, r.takeGroup(now))
+		start = append(start, r.dequeueGroup(now))
 	}
-	return start, refused, why
+	return start, refused, reason
 }
--- a/node/owner/place.go
+++ b/node/owner/slot.go
@@ -10,59 +10,60 @@
 	"github.com/carobmill/carobmill/policy/limit"
 )
 
-// place is a place in a replica's limit. It is given back when the reply is
-// known and the backend server is rid of the request, in either order.
-type place struct {
-	replica *owned
-	recent  *recent
-	// typical is what the sender sees at all replicas of the service.
+// slot is a slot in a replica's concurrency limit. It is released when both the reply
+// has arrived and the backend server has finished the request, in either order.
+type slot struct {
+	replica *ownedReplica
+	latency *latencyAverage
+	// typical is the typical service time that the sender observes at all replicas
+	// of the service.
 	typical time.Duration
 
 	// mu guards everything below.
-	mu     sync.Mutex
-	halves int
-	sample limit.Sample
+	mu          sync.Mutex
+	completions int
+	sample      limit.Sample
 }
 
-func (p *place) replied(reply backend.Reply) {
-	siblings := max(p.typical, p.recent.level())
+func (s *slot) replied(reply backend.Reply) {
+	peerLatency := max(s.typical, s.latency.value())
 	if reply.OK() {
-		p.recent.observe(reply.Took)
+		s.latency.observe(reply.Took)
 	}
-	p.mu.Lock()
-	p.sample = limit.Sample{
+	s.mu.Lock()
+	s.sample = limit.Sample{
 		Latency:     reply.Took,
 		Result:      resultOf(reply),
-		PeerLatency: siblings,
+		PeerLatency: peerLatency,
 		ReportsCold: reply.Cold,
 	}
-	p.mu.Unlock()
-	p.half()
+	s.mu.Unlock()
+	s.complete()
 }
 
-func (p *place) settled() { p.half() }
+func (s *slot) serverDone() { s.complete() }
 
-func (p *place) half() {
-	p.mu.Lock()
-	p.halves++
-	both := p.halves == 2
-	sample := p.sample
-	p.mu.Unlock()
-	if both {
-		p.replica.giveBack(sample)
+func (s *slot) complete() {
+	s.mu.Lock()
+	s.completions++
+	done := s.completions == 2
+	sample := s.sample
+	s.mu.Unlock()
+	if done {
+		s.replica.releaseSlot(sample)
 	}
 }
 
-// patience returns the context of a request to the backend server. A replica that
-// is not warm works on until the deadline when the sender gives the request up:
-// it warms up by it, and shows by its latency how far it is. The sender gets its
-// answer at once.
-func (r *owned) patience(t *task) (context.Context, func()) {
+// requestContext returns the context of a request to the backend server. A request that
+// must run to completion continues until its deadline when the sender cancels it, and
+// the sender is answered at once. It warms up a replica that is not warm, and its
+// latency shows the progress.
+func (r *ownedReplica) requestContext(t *task) (context.Context, func()) {
 	r.mu.Lock()
-	letFinish := r.limiter.RunToCompletion()
+	runToCompletion := r.limiter.RunToCompletion()
 	r.mu.Unlock()
 	deadline, limited := t.ctx.Deadline()
-	if !letFinish || !limited || t.req.Execute {
+	if !runToCompletion || !limited || t.req.Execute {
 		return t.ctx, func() {}
 	}
 	var once sync.Once
@@ -83,7 +84,7 @@
 	}
 }
 
-// resultOf maps a backend server's reply to what the limiter wants to know.
+// resultOf maps a reply to a result for the limiter.
 func resultOf(reply backend.Reply) limit.Result {
 	switch reply.Reason {
 	case pb.Reason_REASON_UNSPECIFIED, pb.Reason_REASON_NO_SNAPSHOT:
@@ -92,7 +93,7 @@
 		return limit.ResultShed
 	case pb.Reason_REASON_CONNECTION:
 		if reply.Silent {
-			// The connection was at fault; newer ones to the replica work.
+			// Only this connection failed; newer connections to the replica work.
 			return limit.ResultCancelled
 		}
 		return limit.ResultConnectionFailed
--- a/node/owner/state.go
+++ b/node/owner/state.go
@@ -9,63 +9,64 @@
 	"github.com/carobmill/carobmill/policy/limit"
 )
 
-// learn takes in what a reply or poll says about the replica. Caller holds mu.
-func (r *owned) learn(reply backend.Reply, now time.Time) {
+// applyReply updates the state of the replica from a reply or a poll. Caller holds mu.
+func (r *ownedReplica) applyReply(reply backend.Reply, now time.Time) {
 	if reply.Newest != 0 {
-		r.hold(snapshots{oldest: reply.Oldest, newest: reply.Newest})
+		r.setSnapshots(snapshotRange{oldest: reply.Oldest, newest: reply.Newest})
 	}
-	for _, sign := range r.signs(reply) {
-		r.limiter.Observe(now, sign)
+	for _, signal := range r.signals(reply) {
+		r.limiter.Observe(now, signal)
 	}
 	if reply.Incarnation != "" {
-		r.incarn = reply.Incarnation
-		r.heardAt = now
+		r.incarnation = reply.Incarnation
+		r.statusAt = now
 	}
-	r.noteState()
+	r.updateState()
 }
 
-// hold notes which snapshots the replica has. Caller holds mu.
-func (r *owned) hold(held snapshots) {
-	if held == r.held {
+// setSnapshots records the snapshots that the replica holds. Caller holds mu.
+func (r *ownedReplica) setSnapshots(held snapshotRange) {
+	if held == r.snapshots {
 		return
 	}
-	r.held = held
+	r.snapshots = held
 	r.changed = r.owner.revision.Add(1)
 }
 
-// signs lists what a reply tells about a cold start or draining.
-func (r *owned) signs(reply backend.Reply) []limit.Signal {
-	var signs []limit.Signal
-	restarted := reply.Incarnation != "" && r.incarn != "" && reply.Incarnation != r.incarn
+// signals returns the signals for the limiter in a reply. Caller holds mu.
+func (r *ownedReplica) signals(reply backend.Reply) []limit.Signal {
+	var signals []limit.Signal
+	restarted := reply.Incarnation != "" && r.incarnation != "" && reply.Incarnation != r.incarnation
 	if restarted {
-		signs = append(signs, limit.SignalIncarnation)
+		signals = append(signals, limit.SignalIncarnation)
 	}
 	if reply.Reason == pb.Reason_REASON_CONNECTION && !reply.Silent {
-		signs = append(signs, limit.SignalReset)
+		signals = append(signals, limit.SignalReset)
 	}
 	if reply.OK() && r.limiter.State() == pb.ReplicaState_REPLICA_STATE_LOST {
-		signs = append(signs, limit.SignalReachable)
+		signals = append(signals, limit.SignalReachable)
 	}
 	if reply.OK() && r.limiter.Draining() && !reply.Draining {
-		signs = append(signs, limit.SignalServing)
+		signals = append(signals, limit.SignalServing)
 	}
 	if reply.Cold {
-		signs = append(signs, limit.SignalColdReport)
+		signals = append(signals, limit.SignalColdReport)
 	}
 	if reply.Draining {
-		signs = append(signs, limit.SignalDraining)
+		signals = append(signals, limit.SignalDraining)
 	}
-	return signs
+	return signals
 }
 
-// noteState records a change of state in the decision ring. Caller holds mu.
-func (r *owned) noteState() {
+// updateState follows the limiter's state and records a change in the decision
+// ring. Caller holds mu.
+func (r *ownedReplica) updateState() {
 	state := r.limiter.State()
 	if state == r.state {
 		return
 	}
 	r.state = state
-	r.told = false
+	r.reported = false
 	r.changed = r.owner.revision.Add(1)
 	kind := map[pb.ReplicaState]ring.Kind{
 		pb.ReplicaState_REPLICA_STATE_COLD:     ring.ReplicaCold,
@@ -81,26 +82,26 @@
 	}
 }
 
-// toldState is the state that others may rely on. An owner that has lost its
-// connections, or has none, would not know of a restart since: another owner that
-// took its word for "warm" would send to a cold replica together with the first
-// owner. Caller holds mu.
-func (r *owned) toldState() pb.ReplicaState {
+// reportableState returns the state that is reported to other nodes. An owner without
+// connections does not detect a restart. If it reported the replica as warm, another
+// owner would send to a cold replica at the same time as the first owner. Caller
+// holds mu.
+func (r *ownedReplica) reportableState() pb.ReplicaState {
 	state := r.limiter.State()
-	known := r.verified && r.owner.Backend.Connections(r.name) > 0
-	if state == pb.ReplicaState_REPLICA_STATE_WARM && !known {
+	verified := r.verified && r.owner.Backend.Connections(r.name) > 0
+	if state == pb.ReplicaState_REPLICA_STATE_WARM && !verified {
 		return pb.ReplicaState_REPLICA_STATE_UNSPECIFIED
 	}
 	return state
 }
 
-// news is what the owner tells about the replica. Caller holds mu.
-func (r *owned) news() *pb.ReplicaNews {
+// report returns the report on the replica for other nodes. Caller holds mu.
+func (r *ownedReplica) report() *pb.ReplicaNews {
 	return &pb.ReplicaNews{
 		Replica:        r.name,
-		OldestSnapshot: r.held.oldest,
-		NewestSnapshot: r.held.newest,
-		State:          r.toldState(),
+		OldestSnapshot: r.snapshots.oldest,
+		NewestSnapshot: r.snapshots.newest,
+		State:          r.reportableState(),
 		InFlight:       uint32(r.limiter.InFlight()),
 		Limit:          uint32(r.limiter.Limit()),
 	}
--- a/node/owner/verify.go
+++ b/node/owner/verify.go
@@ -7,18 +7,17 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// A backend server that restarts closes its connections and is cold from then
-// on. An owner that has requests in flight sees the reset; one whose connections
-// are idle would send its next requests over new connections, as many as it sent
-// to the warm replica, together with those of the first owner. So every lost
-// connection, idle ones included, stops new requests until a status poll has
-// told the incarnation. Requests that hold a place but are not written yet are
-// held back by the epoch. An owner that has no connection at all would hear of
-// no loss; it polls first as well, and that poll's connection stays.
+// A backend server that restarts closes its connections and is cold. An owner with
+// idle connections would open new ones and send as many requests as to the warm
+// replica, at the same time as the first owner. Therefore every lost connection, also
+// an idle one, stops new requests until a status poll has reported the incarnation.
+// Requests that hold a slot but are not written yet are refused because their epoch
+// has changed. An owner without connections cannot detect a lost connection. It also
+// polls before it sends, and the connection of that poll stays open.
 
-// acquire takes a place in the limit. Until the replica's incarnation is
-// verified it answers REASON_LIMIT, which lets the task wait. Caller holds mu.
-func (r *owned) acquire(t *task, now time.Time) pb.Reason {
+// acquire acquires a slot for a task. Until the replica's incarnation is verified,
+// acquire returns REASON_LIMIT, so that the task is queued. Caller holds mu.
+func (r *ownedReplica) acquire(t *task, now time.Time) pb.Reason {
 	if r.verified && r.owner.Backend.Connections(r.name) == 0 {
 		r.verified = false
 	}
@@ -30,8 +29,8 @@
 	return r.limiter.TryAcquire(now)
 }
 
-// verify starts a status poll unless one runs. Caller holds mu.
-func (r *owned) verify() {
+// verify starts a status poll unless one is in flight. Caller holds mu.
+func (r *ownedReplica) verify() {
 	if r.verifying {
 		return
 	}
@@ -45,7 +44,7 @@
 	})
 }
 
-// ConnectionLost takes in that a backend server closed a connection.
+// ConnectionLost is called when a connection to a backend server was lost.
 func (o *Owner) ConnectionLost(replica string) {
 	o.mu.Lock()
 	r := o.replicas[replica]
@@ -57,19 +56,19 @@
 	defer r.mu.Unlock()
 	r.verified = false
 	r.epoch++
-	// Polls of a warm replica may be seconds apart; the other owners must hear of a
-	// restart before.
-	r.planned, r.heardAt = time.Time{}, time.Time{}
+	// The next poll of a warm replica may be seconds away. The other owners must
+	// receive the report of a restart before that.
+	r.scheduledAt, r.statusAt = time.Time{}, time.Time{}
 	if len(r.queue) > 0 {
 		r.verify()
 	}
 }
 
-// current reports whether a request that got its place in an epoch may still be
-// written: nothing was lost since, and a replica that one owner alone may use is
-// still this node's. Opening a connection may have taken longer than a claim lasts,
-// and the replica may have turned cold meanwhile.
-func (r *owned) current(epoch uint64) bool {
+// maySend reports whether a request that acquired its slot in an epoch may still be
+// written: no connection was lost since, and this node still holds the claim if only
+// one owner may use the replica. Without this check, the claim could expire or the
+// replica could turn cold while a connection is opened.
+func (r *ownedReplica) maySend(epoch uint64) bool {
 	r.mu.Lock()
 	same := r.epoch == epoch
 	replica, alone := r.replica, r.limiter.FirstOwnerOnly()
@@ -77,21 +76,21 @@
 	return same && (!alone || r.owner.Fleet.MayUseCold(replica))
 }
 
-// startQueued starts the tasks that waited, or refuses them all when the replica
-// could not be verified: they may find another replica.
-func (r *owned) startQueued() {
+// startQueued starts the queued tasks. If the replica was not verified, all are
+// refused, so that their senders can try another replica.
+func (r *ownedReplica) startQueued() {
 	r.mu.Lock()
 	now := time.Now()
 	var start [][]*task
 	var refused []*task
-	why := pb.Reason_REASON_CONNECTION
+	reason := pb.Reason_REASON_CONNECTION
 	if r.verified {
-		start, refused, why = r.takeQueued(now)
+		start, refused, reason = r.dequeue(now)
 	} else {
 		refused = r.queue
 		r.queue = nil
 	}
-	news := r.news()
+	report := r.report()
 	r.mu.Unlock()
-	r.settle(start, refused, why, news)
+	r.dispatch(start, refused, reason, report)
 }
