--- a/node/gateway/assemble.go
+++ b/node/gateway/assemble.go
@@ -114,9 +114,9 @@
 // buildRelay builds both sides of relaying: to coordinators, and as one.
 func (g *Gateway) buildRelay(own coordinator.Member, credentials peer.CredentialPair) {
 	g.relay = relay.New(relay.Options{
-		Own:        own,
+		Self:       own,
 		Pool:       g.peers,
-		Follower:   g.directory,
+		Directory:  g.directory,
 		Follow:     g.directory.Follow,
 		Local:      g.forwarder,
 		Registered: g.directory.RegisteredNodes,
@@ -125,9 +125,9 @@
 		Record:     g.recordRelayed,
 	})
 	g.peerServer = relay.NewServer(relay.ServerOptions{
-		Follower: g.directory,
-		Local:    g.forwarder,
-		Leaving:  g.stopping.Load,
+		Directory: g.directory,
+		Local:     g.forwarder,
+		Leaving:   g.stopping.Load,
 	}, credentials.Server)
 }
 
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -164,7 +164,7 @@
 	switch {
 	case g.relay.Ready():
 		return ""
-	case g.relay.CutOff():
+	case g.relay.Isolated():
 		return "the coordinators next door reach no other data centre"
 	case g.directory.View() == nil:
 		return "no configuration is known, and no coordinator is in reach"
--- a/node/relay/heartbeat.go
+++ b/node/relay/heartbeat.go
@@ -59,7 +59,7 @@
 	r.mu.Lock()
 	r.started = time.Now()
 	r.mu.Unlock()
-	if r.opts.Own.FollowsStoreAtStart() {
+	if r.opts.Self.FollowsStoreAtStart() {
 		r.follow(true)
 	} else {
 		r.settle(ctx)
@@ -75,7 +75,7 @@
 func (r *Relay) stayInTouch(ctx context.Context, rank int) {
 	last := ""
 	for ctx.Err() == nil {
-		r.keep(r.opts.Follower.Fleet())
+		r.keep(r.opts.Directory.Fleet())
 		to, ok := r.ranked(rank)
 		if !ok {
 			work.Sleep(ctx, aloneEvery)
@@ -160,7 +160,7 @@
 	revision := r.table.Revision()
 	r.mu.Unlock()
 	return peerv1.NewCoordinatorClient(conn).Heartbeat(ctx, &pb.HeartbeatRequest{
-		Node: r.opts.Own.Node, FleetRevision: revision, WaitMs: uint64(wait.Milliseconds()),
+		Node: r.opts.Self.Node, FleetRevision: revision, WaitMs: uint64(wait.Milliseconds()),
 	})
 }
 
@@ -223,7 +223,7 @@
 	switch {
 	case last.connected && lasted >= restAfter && !r.opts.Leaving():
 		r.follow(false)
-	case last.connected || lasted < followAfter || now.Sub(last.probed) < probeEvery || r.opts.Follower.Synced():
+	case last.connected || lasted < followAfter || now.Sub(last.probed) < probeEvery || r.opts.Directory.Synced():
 	default:
 		last.probed = now
 		if !r.readRegistered(ctx) {
@@ -259,9 +259,9 @@
 // Ready reports whether a coordinator can answer requests of this node's callers.
 func (r *Relay) Ready() bool { return r.connection().Serving }
 
-// CutOff reports whether this node's data centre reaches no other one, as its coordinators
+// Isolated reports whether this node's data centre reaches no other one, as its coordinators
 // say. A node that follows the store but sends nothing itself would not know.
-func (r *Relay) CutOff() bool {
+func (r *Relay) Isolated() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.Isolated(time.Now())
--- a/node/relay/neighbours_test.go
+++ b/node/relay/neighbours_test.go
@@ -51,8 +51,8 @@
 	return node, replies, records, ok
 }
 
-// TestBatchTravelsWhole is the path of a batch and its replies between two nodes.
-func TestBatchTravelsWhole(t *testing.T) {
+// TestBatchPreservesRequestAndReplies is the path of a batch and its replies between two nodes.
+func TestBatchPreservesRequestAndReplies(t *testing.T) {
 	run(t, func(w *world) {
 		s := w.sender()
 		defer s.pool.Close()
@@ -76,9 +76,9 @@
 	})
 }
 
-// TestSilentNeighbourIsLeftUntilItAnswersHeartbeats guards against batches that vanish at a
+// TestUnresponsiveNeighbourIsUnusedUntilHeartbeatSucceeds guards against batches that vanish at a
 // node that is cut off, one after the other.
-func TestSilentNeighbourIsLeftUntilItAnswersHeartbeats(t *testing.T) {
+func TestUnresponsiveNeighbourIsUnusedUntilHeartbeatSucceeds(t *testing.T) {
 	run(t, func(w *world) {
 		s := w.sender()
 		defer s.pool.Close()
@@ -113,9 +113,9 @@
 	})
 }
 
-// TestSlowReplicasAreNotTheirNeighboursFault guards against a node that is left since its
+// TestSlowReplicasDoNotDisableNeighbour guards against a node that is left since its
 // sender gave up before the replicas answered.
-func TestSlowReplicasAreNotTheirNeighboursFault(t *testing.T) {
+func TestSlowReplicasDoNotDisableNeighbour(t *testing.T) {
 	run(t, func(w *world) {
 		s := w.sender()
 		defer s.pool.Close()
@@ -142,9 +142,9 @@
 	})
 }
 
-// TestMalformedRepliesEndTheBatch guards against an attempt that is settled twice since a
+// TestMalformedRepliesFailBatch guards against an attempt that is settled twice since a
 // faulty node tells of it twice, or of one that it was not sent.
-func TestMalformedRepliesEndTheBatch(t *testing.T) {
+func TestMalformedRepliesFailBatch(t *testing.T) {
 	for name, replicas := range map[string][]int{"twice": {0, 0}, "not sent": {0, 7}} {
 		run(t, func(w *world) {
 			s := w.sender()
--- a/node/relay/relay.go
+++ b/node/relay/relay.go
@@ -37,13 +37,13 @@
 
 // Options of a Relay.
 type Options struct {
-	// Own is this node.
-	Own      coordinator.Member
-	Pool     *peer.Pool
-	Follower Follower
+	// Self is this node.
+	Self      coordinator.Member
+	Pool      *peer.Pool
+	Directory Directory
 	// Follow makes this node follow the store by itself, or stop it.
 	Follow func(on bool)
-	Local  Local
+	Local  LocalForwarder
 	// Registered reads the registered nodes from the store.
 	Registered func(ctx context.Context) (coordinator.Fleet, error)
 	// Leaving reports whether the node is shutting down.
@@ -80,7 +80,7 @@
 func New(o Options) *Relay {
 	return &Relay{
 		opts:     o,
-		table:    coordinator.NewTable(o.Own),
+		table:    coordinator.NewTable(o.Self),
 		inFlight: make(map[string]map[*call]bool),
 	}
 }
@@ -128,7 +128,7 @@
 }
 
 // knows reports whether this node knows a configuration by itself.
-func (r *Relay) knows() bool { return r.opts.Follower.View() != nil }
+func (r *Relay) knows() bool { return r.opts.Directory.View() != nil }
 
 // mayReturn reports whether a coordinator is worth waiting for: there are some, and one
 // was heard of, or this node was started, a short while ago.
@@ -163,7 +163,7 @@
 }
 
 // current reports whether this node follows the store by itself and has new news.
-func (r *Relay) current() bool { return r.knows() && !r.opts.Follower.Stale() }
+func (r *Relay) current() bool { return r.knows() && !r.opts.Directory.Stale() }
 
 func (r *Relay) pick(tried map[string]bool) (coordinator.Member, coordinator.Condition, bool) {
 	r.mu.Lock()
@@ -265,7 +265,7 @@
 	r.follow(true)
 	least := r.leastVersion()
 	for behindSince := time.Now(); ; work.Sleep(ctx, lookEvery) {
-		v := r.opts.Follower.View()
+		v := r.opts.Directory.View()
 		switch {
 		case v != nil && v.Index.Version >= least:
 			answer := r.opts.Local.Serve(ctx, req)
--- a/node/relay/relay_test.go
+++ b/node/relay/relay_test.go
@@ -12,7 +12,7 @@
 
 // A caller comes to a small VM. Its node lets a large one answer and does not follow the
 // store itself: eighty nodes that did made a tenth of all calls to it.
-func TestSmallNodeRelaysAndRests(t *testing.T) {
+func TestSmallNodeRelaysWithoutFollowingStore(t *testing.T) {
 	run(t, func(w *world) {
 		used, _ := w.answering()
 		w.Assert(used.count(), qt.Equals, 1)
@@ -29,7 +29,7 @@
 // request waits for its offer in vain, then gets the other coordinator's answer, also
 // when the request may run only once: who was not told to begin does not begin. The next
 // requests go to the other one at once.
-func TestSilentCoordinatorIsLeft(t *testing.T) {
+func TestUnresponsiveCoordinatorIsReplaced(t *testing.T) {
 	run(t, func(w *world) {
 		used, other := w.answering()
 		w.network.Cut(w.small.host, used.host)
@@ -50,7 +50,7 @@
 
 // A coordinator stands still with a request in its socket, whose sender gives it to the
 // other one. When it goes on it must not begin: the request has run already.
-func TestCoordinatorThatStoodStillDoesNotBegin(t *testing.T) {
+func TestPausedCoordinatorDoesNotRunReassignedRequest(t *testing.T) {
 	run(t, func(w *world) {
 		used, other := w.answering()
 		before := used.count()
@@ -65,7 +65,7 @@
 
 // A coordinator's process is killed and nothing listens there: connections are refused,
 // so that the request has run nowhere and goes on as if it were new.
-func TestDeadCoordinatorHasNotBegun(t *testing.T) {
+func TestRequestIsRetriedWhenCoordinatorRefusesConnection(t *testing.T) {
 	run(t, func(w *world) {
 		used, other := w.answering()
 		used.server.Stop()
@@ -78,7 +78,7 @@
 // and hedges sent, so that another coordinator would bring the request to more of them
 // than its route allows. A heartbeat finds that out, and the caller hears of it at once,
 // long before the deadline; it may ask anew.
-func TestBegunRequestIsLostWithItsCoordinator(t *testing.T) {
+func TestStartedRequestFailsWhenCoordinatorIsLost(t *testing.T) {
 	run(t, func(w *world) {
 		used, other := w.answering()
 		used.set(func() { used.hold = true })
@@ -95,7 +95,7 @@
 
 // Both coordinators are gone. The small node follows the store and answers by itself;
 // when they are back it relays again, and rests after a while.
-func TestSmallNodeServesAlone(t *testing.T) {
+func TestSmallNodeFollowsStoreWithoutCoordinators(t *testing.T) {
 	run(t, func(w *world) {
 		w.network.Cut(w.small.host, w.big[0].host)
 		w.network.Cut(w.small.host, w.big[1].host)
@@ -115,7 +115,7 @@
 // A caller was answered by a new version of the configuration. Its coordinator leaves,
 // and the other one has not heard of the version yet: it must not answer by the old one.
 // It asks the store at once, and answers as soon as it knows.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	run(t, func(w *world) {
 		used, other := w.answering()
 		used.set(func() { used.version = 4 })
@@ -135,7 +135,7 @@
 
 // A coordinator shuts down as planned. Senders hear of it by the heartbeat that waits
 // there and go to the other one; what still comes is answered.
-func TestLeavingCoordinatorIsLeftInTime(t *testing.T) {
+func TestCoordinatorShuttingDownIsNotChosen(t *testing.T) {
 	run(t, func(w *world) {
 		used, other := w.answering()
 		used.set(func() { used.leaving = true })
@@ -146,20 +146,20 @@
 
 // A data centre is cut off: its coordinators reach no other one and take no requests. The
 // small nodes there are not ready, so that the balancer sends their callers elsewhere.
-func TestIsolatedCoordinatorsMakeTheirSendersUnready(t *testing.T) {
+func TestIsolatedCoordinatorsMakeSmallNodeUnready(t *testing.T) {
 	run(t, func(w *world) {
 		for _, n := range w.big {
 			n.set(func() { n.isolated = true })
 		}
 		time.Sleep(2 * time.Second)
 		w.Assert(w.small.relay.Ready(), qt.IsFalse)
-		w.Assert(w.small.relay.CutOff(), qt.IsTrue)
+		w.Assert(w.small.relay.Isolated(), qt.IsTrue)
 	})
 }
 
 // The same data centre while its callers still come: they are refused at once, and not
 // after every coordinator out of reach was waited for.
-func TestIsolatedRequestsAreRefusedAtOnce(t *testing.T) {
+func TestIsolatedDataCentreRefusesRequestsImmediately(t *testing.T) {
 	run(t, func(w *world) {
 		for _, n := range w.big {
 			n.set(func() { n.isolated = true })
@@ -175,7 +175,7 @@
 // The store turns one coordinator away and serves all others. A version that comes into
 // force meanwhile is unknown there, so that the small nodes use the other one. When the
 // store is away from both, they are used all the same.
-func TestCoordinatorWithOldNewsIsLeft(t *testing.T) {
+func TestStaleCoordinatorIsUsedOnlyWhenAllAreStale(t *testing.T) {
 	run(t, func(w *world) {
 		used, other := w.answering()
 		used.set(func() { used.stale = true })
@@ -191,7 +191,7 @@
 
 // The store turns all coordinators away and serves the small node, which is the only one
 // to know what is in force: it answers by itself.
-func TestSmallNodeWithNewNewsServesAlone(t *testing.T) {
+func TestCurrentSmallNodeAnswersWhenCoordinatorsAreStale(t *testing.T) {
 	run(t, func(w *world) {
 		for _, n := range w.big {
 			n.set(func() { n.stale = true })
@@ -204,7 +204,7 @@
 // The store is away from all for a few seconds and comes back. The small node hears of
 // that before its coordinators' news is new again: it does not read the store, as eighty
 // would at that moment, and goes on relaying.
-func TestStoreThatComesBackIsNotReadByAll(t *testing.T) {
+func TestSmallNodeDoesNotReadRecoveredStore(t *testing.T) {
 	run(t, func(w *world) {
 		w.storeAway.Store(true)
 		for _, n := range w.big {
@@ -225,7 +225,7 @@
 // A small node is cut off from all others and from the store, and callers still come. The
 // first ones wait for a coordinator to come back; when none has for seconds, the others are
 // refused at once, so that they can be served elsewhere.
-func TestCutOffNodeRefusesAtOnceAfterAWhile(t *testing.T) {
+func TestNodeWithoutCoordinatorsOrStoreRefusesImmediately(t *testing.T) {
 	run(t, func(w *world) {
 		w.small.set(func() { w.small.version = 0 })
 		w.network.Cut(w.small.host, w.big[0].host)
@@ -243,7 +243,7 @@
 }
 
 // A caller leaves. The coordinator's work for it ends at once.
-func TestCallerWhoLeavesFreesTheCoordinator(t *testing.T) {
+func TestCallerCancellationEndsCoordinatorWork(t *testing.T) {
 	run(t, func(w *world) {
 		used, _ := w.answering()
 		used.set(func() { used.hold = true })
--- a/node/relay/server.go
+++ b/node/relay/server.go
@@ -32,8 +32,8 @@
 	maxWait = 5 * time.Second
 )
 
-// Follower knows what the store holds.
-type Follower interface {
+// Directory knows what the store holds.
+type Directory interface {
 	View() *directory.View
 	Fleet() coordinator.Fleet
 	// Synced reports whether the store was read; there may be no configuration in it.
@@ -46,8 +46,8 @@
 	Stale() bool
 }
 
-// Local answers requests by asking the shards from this node.
-type Local interface {
+// LocalForwarder answers requests by asking the shards from this node.
+type LocalForwarder interface {
 	Serve(ctx context.Context, req *forward.Request) forward.Answer
 	// Isolated reports whether no other data centre is in reach.
 	Isolated() bool
@@ -57,8 +57,8 @@
 
 // ServerOptions of a Server.
 type ServerOptions struct {
-	Follower Follower
-	Local    Local
+	Directory Directory
+	Local     LocalForwarder
 	// Leaving reports whether the node is shutting down: it takes requests that still
 	// come, and tells senders to use others.
 	Leaving func() bool
@@ -119,16 +119,16 @@
 func (s *Server) refuse(ctx context.Context, leastVersion uint64) pb.RelayRefusal {
 	until := time.Now().Add(catchUp)
 	for {
-		v := s.opts.Follower.View()
+		v := s.opts.Directory.View()
 		switch {
 		case v == nil:
 			return pb.RelayRefusal_RELAY_REFUSAL_NO_CONFIGURATION
 		case v.Index.Version >= leastVersion:
 			return 0
-		case time.Now().After(until) || ctx.Err() != nil || s.opts.Follower.Stale():
+		case time.Now().After(until) || ctx.Err() != nil || s.opts.Directory.Stale():
 			return pb.RelayRefusal_RELAY_REFUSAL_BEHIND
 		}
-		s.opts.Follower.PollNow()
+		s.opts.Directory.PollNow()
 		work.Sleep(ctx, lookEvery)
 	}
 }
@@ -148,7 +148,7 @@
 
 // Heartbeat implements peerv1.CoordinatorServer.
 func (s *Server) Heartbeat(ctx context.Context, m *pb.HeartbeatRequest) (*pb.HeartbeatResponse, error) {
-	s.opts.Follower.MarkReliedOn()
+	s.opts.Directory.MarkReliedOn()
 	ctx, cancel := context.WithTimeout(ctx, min(time.Duration(m.GetWaitMs())*time.Millisecond, maxWait))
 	defer cancel()
 	now := s.state()
@@ -162,10 +162,10 @@
 		Isolated:      now.condition.Isolated,
 		FleetRevision: now.fleetRevision,
 	}
-	if v := s.opts.Follower.View(); v != nil {
+	if v := s.opts.Directory.View(); v != nil {
 		resp.MaxBodyBytes = uint64(max(v.Index.Limits.MaxBodyBytes, 0))
 	}
-	if fleet := s.opts.Follower.Fleet(); fleet.Revision > m.GetFleetRevision() {
+	if fleet := s.opts.Directory.Fleet(); fleet.Revision > m.GetFleetRevision() {
 		resp.FleetRevision = fleet.Revision
 		resp.Fleet = encodeFleet(fleet)
 	}
@@ -175,12 +175,12 @@
 // state is what heartbeats tell.
 func (s *Server) state() state {
 	return state{
-		unavailable: s.opts.Leaving() || !s.opts.Follower.Synced(),
+		unavailable: s.opts.Leaving() || !s.opts.Directory.Synced(),
 		condition: coordinator.Condition{
-			Configured: s.opts.Follower.View() != nil,
-			Stale:      s.opts.Follower.Stale(),
+			Configured: s.opts.Directory.View() != nil,
+			Stale:      s.opts.Directory.Stale(),
 			Isolated:   s.opts.Local.Isolated(),
 		},
-		fleetRevision: s.opts.Follower.Fleet().Revision,
+		fleetRevision: s.opts.Directory.Fleet().Revision,
 	}
 }
--- a/node/relay/world_test.go
+++ b/node/relay/world_test.go
@@ -219,13 +219,13 @@
 		answers: []int{0, 1},
 		member:  coordinator.Member{Node: name, Address: l.Addr().String(), DataCentre: "a", Capacity: capacity},
 	}
-	n.server = relay.NewServer(relay.ServerOptions{Follower: n, Local: n, Leaving: n.Leaving}, nil)
+	n.server = relay.NewServer(relay.ServerOptions{Directory: n, Local: n, Leaving: n.Leaving}, nil)
 	go func() { _ = n.server.Serve(l) }()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	pool := peer.NewPool(nil, w.network.Dialer(name))
 	n.relay = relay.New(relay.Options{
-		Own: n.member, Pool: pool, Follower: n, Follow: n.Follow, Local: n, Leaving: n.Leaving, Log: log,
+		Self: n.member, Pool: pool, Directory: n, Follow: n.Follow, Local: n, Leaving: n.Leaving, Log: log,
 		Registered: func(context.Context) (coordinator.Fleet, error) {
 			if w.storeAway.Load() {
 				return coordinator.Fleet{}, errors.New("connection refused")
