--- a/node/gateway/assemble.go
+++ b/node/gateway/assemble.go
@@ -21,28 +21,29 @@
 )
 
 const (
-	// dialTimeout bounds a connection to a replica. Inside a region it takes a
-	// millisecond or two, and ten where the replica is busy.
+	// dialTimeout bounds the opening of a connection to a replica, also a busy one.
 	dialTimeout = 500 * time.Millisecond
-	// holdClosed is how long a closed connection counts against a replica's limit
-	// when the replica does not confirm it.
-	holdClosed = 2 * time.Second
-	// smallRegistersAfter is how long a node on a small VM, which follows the store only
-	// while it reaches no coordinator, does so before it registers.
-	smallRegistersAfter = 2 * time.Second
-	// balancerNotices is how long the balancer takes to send callers elsewhere: it asks
-	// every second and acts on the second miss.
-	balancerNotices = 2200 * time.Millisecond
+	// closedConnHold is how long a closed connection still counts against a replica's
+	// connection limit when the replica does not confirm the close.
+	closedConnHold = 2 * time.Second
+	// smallNodeRegisterDelay is how long a node on a small VM follows the store before it
+	// registers. Such a node follows the store only while it has no coordinator. Without
+	// the delay, a short loss of coordinators would register it and reduce the other nodes'
+	// shares of the fleet's budgets.
+	smallNodeRegisterDelay = 2 * time.Second
+	// balancerReactionTime is the time that the balancer takes to stop sending callers to
+	// an unready node: it probes every second and acts on the second failure.
+	balancerReactionTime = 2200 * time.Millisecond
 	// maxHeaderBytes bounds a request's headers.
 	maxHeaderBytes = 64 << 10
-	// headerTimeout bounds the time to send them.
+	// headerTimeout bounds the time to read a request's headers.
 	headerTimeout = 10 * time.Second
-	// idleTimeout closes idle connections of callers; above any limit that operators
-	// let callers rely on.
+	// idleTimeout closes idle connections of callers. Callers may reuse a connection that
+	// was idle for less.
 	idleTimeout = 2 * time.Minute
 )
 
-// New builds a forwarding node from checked settings. It opens nothing yet.
+// New builds a forwarding node from validated settings. It opens no listener or connection.
 func New(settings *pb.Settings, log logrus.FieldLogger, adapter Adapter) (*Gateway, error) {
 	credentials, err := peer.Credentials(settings.GetTls())
 	if err != nil {
@@ -57,41 +58,41 @@
 		metrics:  metrics,
 		peers:    peer.NewPool(credentials.Client, nil),
 	}
-	own := coordinator.Member{
+	self := coordinator.Member{
 		Node:       settings.GetNode(),
 		Address:    settings.GetPeerAddress(),
 		DataCentre: settings.GetDataCentre(),
 		Capacity:   settings.GetForwarding().GetCapacity(),
 	}
-	g.buildDirectory(own, adapter.Store())
-	g.buildForwarder(own, adapter.Dialect())
-	g.buildRelay(own, credentials)
+	g.buildDirectory(self, adapter.Store())
+	g.buildForwarder(self, adapter.Dialect())
+	g.buildRelay(self, credentials)
 	g.buildListeners(adapter, metricsHandler)
 	return g, nil
 }
 
-// buildDirectory builds what follows the store.
-func (g *Gateway) buildDirectory(own coordinator.Member, store directory.Store) {
+// buildDirectory builds the directory, which follows the store.
+func (g *Gateway) buildDirectory(self coordinator.Member, store directory.Store) {
 	o := directory.Options{
 		Store:       store,
-		Node:        own,
+		Node:        self,
 		Log:         g.log,
 		UpdateBound: time.Duration(g.settings.GetForwarding().GetNewsBoundMs()) * time.Millisecond,
-		Changed:     g.changed,
+		Changed:     g.updateView,
 	}
-	if !own.FollowsStoreAtStart() {
-		o.RegisterAfter = smallRegistersAfter
+	if !self.FollowsStoreAtStart() {
+		o.RegisterAfter = smallNodeRegisterDelay
 	}
 	g.directory = directory.New(o)
 }
 
-// buildForwarder builds what asks the shards from this node.
-func (g *Gateway) buildForwarder(own coordinator.Member, dialect backend.Dialect) {
+// buildForwarder builds the forwarder, which sends requests from this node to the shards.
+func (g *Gateway) buildForwarder(self coordinator.Member, dialect backend.Dialect) {
 	g.backends = backend.New(backend.Options{
 		DialTimeout:    dialTimeout,
-		HoldClosed:     holdClosed,
+		HoldClosed:     closedConnHold,
 		MaxResultBytes: int64(g.settings.GetLimits().GetMaxResultBytes()),
-		Event:          g.event,
+		Event:          g.recordEvent,
 	})
 	g.metrics.AddSource(g.backends.Report)
 	forwarding := g.settings.GetForwarding()
@@ -100,7 +101,7 @@
 		Backend:     g.backends,
 		Dialect:     dialect,
 		DataCentre:  g.settings.GetDataCentre(),
-		BatchSender: relay.NewNeighbours(own, g.peers, g.directory.Fleet, g.log),
+		BatchSender: relay.NewNeighbours(self, g.peers, g.directory.Fleet, g.log),
 		RetryBudget: retrybudget.Bound{
 			Ratio:  forwarding.GetExtraRatio(),
 			Slack:  forwarding.GetExtraSlack(),
@@ -111,10 +112,11 @@
 	})
 }
 
-// buildRelay builds both sides of relaying: to coordinators, and as one.
-func (g *Gateway) buildRelay(own coordinator.Member, credentials peer.CredentialPair) {
+// buildRelay builds the client that relays requests to coordinators, and the server that
+// accepts relayed requests.
+func (g *Gateway) buildRelay(self coordinator.Member, credentials peer.CredentialPair) {
 	g.relay = relay.New(relay.Options{
-		Self:       own,
+		Self:       self,
 		Pool:       g.peers,
 		Directory:  g.directory,
 		Follow:     g.directory.Follow,
@@ -131,7 +133,7 @@
 	}, credentials.Server)
 }
 
-// buildListeners builds the servers of callers and operators.
+// buildListeners builds the HTTP servers for callers and operators.
 func (g *Gateway) buildListeners(adapter Adapter, metrics http.Handler) {
 	g.callerServer = &http.Server{
 		Handler:           adapter.Handler(g),
--- a/node/gateway/conn.go
+++ b/node/gateway/conn.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// assumedRoundTrip stands in for the round trip of a connection that does not tell.
-	assumedRoundTrip = 6 * time.Millisecond
-	// maxRoundTrip bounds what a connection tells.
+	// defaultRoundTrip is used for a connection whose round-trip time is unavailable.
+	defaultRoundTrip = 6 * time.Millisecond
+	// maxRoundTrip bounds the measured round-trip time of a connection.
 	maxRoundTrip = 50 * time.Millisecond
-	// processing is what reading a request and writing its answer take outside of what
-	// is measured.
-	processing = 2 * time.Millisecond
+	// processingReserve covers reading the request and writing the answer, which the
+	// round-trip time does not include.
+	processingReserve = 2 * time.Millisecond
 )
 
 // callerConn is a caller's connection. Safe for concurrent use.
@@ -26,21 +26,22 @@
 // callerConnKey is the context key of a callerConn.
 type callerConnKey struct{}
 
-// withCallerConn makes the context of the requests on a connection.
+// withCallerConn returns the context of the requests on a connection.
 func withCallerConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, callerConnKey{}, &callerConn{conn: conn})
 }
 
-// reserve is what of an objective the next request on a connection needs on its way to
-// this node and back. Its caller counts the opening of the connection too.
-func reserve(ctx context.Context) time.Duration {
+// transitReserve returns the part of an objective that the next request on a connection
+// needs for its transit to this node and back. The first request needs two round trips,
+// because its caller's latency includes the opening of the connection.
+func transitReserve(ctx context.Context) time.Duration {
 	c, ok := ctx.Value(callerConnKey{}).(*callerConn)
 	if !ok {
-		return processing + assumedRoundTrip
+		return processingReserve + defaultRoundTrip
 	}
 	trips := time.Duration(1)
 	if c.requests.Add(1) == 1 {
 		trips = 2
 	}
-	return processing + trips*min(roundTrip(c.conn), maxRoundTrip)
+	return processingReserve + trips*min(roundTrip(c.conn), maxRoundTrip)
 }
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway assembles a forwarding node: it follows the platform's store,
-// forwards callers' requests to the replicas found there, and shuts down without
-// cutting a request. What speaks to the outside is an Adapter.
+// Package gateway assembles a forwarding node. The node follows the platform's store,
+// forwards callers' requests to the replicas registered there, and finishes requests in
+// flight before it stops. An Adapter implements the protocols of the platform.
 package gateway
 
 import (
@@ -26,13 +26,13 @@
 	"github.com/carobmill/carobmill/policy/route"
 )
 
-// Adapter translates between a platform and the product.
+// Adapter connects a forwarding node to a platform.
 type Adapter interface {
 	// Store is the platform's store.
 	Store() directory.Store
-	// Dialect is how backend servers speak.
+	// Dialect is the protocol of the backend servers.
 	Dialect() backend.Dialect
-	// Handler serves callers.
+	// Handler returns the HTTP handler for callers.
 	Handler(Service) http.Handler
 }
 
@@ -41,7 +41,7 @@
 	Serve(ctx context.Context, req *forward.Request) forward.Answer
 	// MaxBodyBytes bounds the body of a request.
 	MaxBodyBytes() int64
-	// Closing reports whether connections are to be closed after their answer.
+	// Closing reports whether a caller's connection is to be closed after its answer.
 	Closing() bool
 }
 
@@ -62,41 +62,41 @@
 	adminServer  *http.Server
 	peerServer   *grpc.Server
 
-	// unservingSince is the time since which this node cannot answer callers; nil while
-	// it can.
+	// unservingSince is when this node became unable to answer callers; nil while it can.
 	unservingSince atomic.Pointer[time.Time]
-	// stopping is set when a graceful shutdown has begun, closing when connections
-	// are to be closed after their answer.
+	// stopping is set when a graceful shutdown begins. closing is set when callers'
+	// connections are to be closed after their answers.
 	stopping, closing atomic.Bool
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// event records a decision of one of the parts.
-func (g *Gateway) event(kind, subject, detail string) {
+// recordEvent adds a decision to the ring and logs it.
+func (g *Gateway) recordEvent(kind, subject, detail string) {
 	g.ring.Add(ring.Kind(kind), subject, detail)
 	g.log.WithFields(logrus.Fields{"kind": kind, "subject": subject}).Info(detail)
 }
 
-// changed takes a new view of the directory.
-func (g *Gateway) changed(v *directory.View) { g.forwarder.Update(v) }
+// updateView applies a new view of the directory.
+func (g *Gateway) updateView(v *directory.View) { g.forwarder.Update(v) }
 
-// record counts a request that was answered from this node.
+// record counts a request that was answered by this node.
 func (g *Gateway) record(r *route.Route, a *forward.Answer, took time.Duration) {
-	g.count(telemetry.Query{Service: r.Name, Class: r.Name, Took: took, OnTime: took <= r.Objective}, a)
+	g.countQuery(telemetry.Query{Service: r.Name, Class: r.Name, Took: took, OnTime: took <= r.Objective}, a)
 }
 
-// relayed stands for the route of requests that went to a coordinator, which alone knows
-// it and counts them by it.
-const relayed = "relayed"
+// relayedRoute is the route label of requests that were relayed. Only the coordinator
+// matches them to a route.
+const relayedRoute = "relayed"
 
-// recordRelayed counts a request that went to a coordinator. On time is what it answered.
+// recordRelayed counts a request that was relayed. The objective of its route is
+// unavailable here, so each answered request counts as on time.
 func (g *Gateway) recordRelayed(a *forward.Answer, took time.Duration) {
 	answered := a.Outcome == forward.Passed || a.Outcome == forward.Merged
-	g.count(telemetry.Query{Service: relayed, Class: relayed, Took: took, OnTime: answered}, a)
+	g.countQuery(telemetry.Query{Service: relayedRoute, Class: relayedRoute, Took: took, OnTime: answered}, a)
 }
 
-func (g *Gateway) count(q telemetry.Query, a *forward.Answer) {
+func (g *Gateway) countQuery(q telemetry.Query, a *forward.Answer) {
 	switch a.Outcome {
 	case forward.Passed, forward.Merged:
 		q.Outcome, q.Coverage = telemetry.OutcomeComplete, 1
@@ -114,7 +114,7 @@
 
 // Serve implements Service.
 func (g *Gateway) Serve(ctx context.Context, req *forward.Request) forward.Answer {
-	req.TransitReserve = reserve(ctx)
+	req.TransitReserve = transitReserve(ctx)
 	a := g.relay.Serve(ctx, req)
 	if a.Outcome == forward.NotRun {
 		a.RetryAfter = max(a.RetryAfter, g.balancerDelay(time.Now()))
@@ -127,8 +127,8 @@
 	if v := g.directory.View(); v != nil && v.Index.Limits.MaxBodyBytes > 0 {
 		return v.Index.Limits.MaxBodyBytes
 	}
-	if told := g.relay.MaxBodyBytes(); told > 0 {
-		return told
+	if limit := g.relay.MaxBodyBytes(); limit > 0 {
+		return limit
 	}
 	return int64(g.settings.GetLimits().GetMaxBodyBytes())
 }
@@ -139,7 +139,7 @@
 	return g.closing.Load() || !serving
 }
 
-// Ready reports whether the balancer may send callers here, and why not.
+// Ready reports whether the balancer may send callers to this node, and if not, the reason.
 func (g *Gateway) Ready() (bool, string) {
 	if g.stopping.Load() {
 		return false, "shutting down"
@@ -147,45 +147,45 @@
 	return g.serving()
 }
 
-// serving reports whether this node can answer callers, by itself or through a
-// coordinator, and why not.
+// serving reports whether this node can answer callers, itself or through a coordinator,
+// and if not, the reason.
 func (g *Gateway) serving() (bool, string) {
-	why := g.whyNot()
-	if why == "" {
+	reason := g.unreadyReason()
+	if reason == "" {
 		g.unservingSince.Store(nil)
 		return true, ""
 	}
 	now := time.Now()
 	g.unservingSince.CompareAndSwap(nil, &now)
-	return false, why
+	return false, reason
 }
 
-func (g *Gateway) whyNot() string {
+// unreadyReason returns why this node cannot answer callers; empty if it can.
+func (g *Gateway) unreadyReason() string {
 	switch {
 	case g.relay.Ready():
 		return ""
 	case g.relay.Isolated():
-		return "the coordinators next door reach no other data centre"
+		return "the coordinators in this data centre reach no other data centre"
 	case g.directory.View() == nil:
-		return "no configuration is known, and no coordinator is in reach"
+		return "no configuration is loaded and no coordinator is reachable"
 	case g.forwarder.Isolated():
-		return "no other data centre is in reach"
+		return "no other data centre is reachable"
 	}
 	return ""
 }
 
-// balancerDelay is how long the balancer may still send callers to this node although it
-// cannot answer them. Who comes back earlier is refused again, and many callers come back
-// only once.
+// balancerDelay returns how long the balancer may still send callers to this node although
+// it cannot answer them. A caller that retries earlier may be refused again.
 func (g *Gateway) balancerDelay(now time.Time) time.Duration {
 	since := g.unservingSince.Load()
 	if since == nil {
 		return 0
 	}
-	return balancerNotices - now.Sub(*since)
+	return balancerReactionTime - now.Sub(*since)
 }
 
-// NodeStatus implements admin.Status. It describes this node only.
+// NodeStatus implements admin.Status. It reports this node only.
 func (g *Gateway) NodeStatus(context.Context, bool) []*pb.NodeStatus {
 	ready, reason := g.Ready()
 	status := &pb.NodeStatus{
@@ -202,13 +202,13 @@
 	return []*pb.NodeStatus{status}
 }
 
-// Listeners are the open ports of a node.
+// Listeners holds the open listeners of a node.
 type Listeners struct {
 	Callers, Operators, Peers net.Listener
 }
 
-// Run opens the node's ports and serves until ctx ends, then shuts down gracefully. An
-// error means that a port could not be opened or failed.
+// Run opens the node's listeners and serves until ctx ends, then shuts down gracefully. It
+// returns an error when a listener cannot be opened or fails.
 func (g *Gateway) Run(ctx context.Context) error {
 	var opened []net.Listener
 	for _, address := range []string{
@@ -226,30 +226,30 @@
 	return g.RunOn(ctx, Listeners{Callers: opened[0], Operators: opened[1], Peers: opened[2]})
 }
 
-// RunOn is Run on ports that are open already. It closes them.
-func (g *Gateway) RunOn(ctx context.Context, on Listeners) error {
+// RunOn is like Run, with listeners that are already open. It closes them.
+func (g *Gateway) RunOn(ctx context.Context, listeners Listeners) error {
 	g.log.WithFields(logrus.Fields{
-		"callers": on.Callers.Addr().String(), "data_centre": g.settings.GetDataCentre(), "boot": g.boot,
+		"callers": listeners.Callers.Addr().String(), "data_centre": g.settings.GetDataCentre(), "boot": g.boot,
 	}).Info("start")
-	// What is known of the fleet outlives ctx, because work in flight needs it until
-	// the end of the shutdown.
+	// Requests in flight need the directory and the forwarder until the shutdown ends,
+	// after ctx.
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	var parts sync.WaitGroup
-	parts.Go(func() { g.directory.Run(background) })
-	parts.Go(func() { g.directory.Register(ctx) })
-	parts.Go(func() { g.forwarder.Run(background) })
-	parts.Go(func() { g.relay.Run(background) })
-	failed := make(chan error, 3)
-	go func() { failed <- g.adminServer.Serve(on.Operators) }()
-	go func() { failed <- g.callerServer.Serve(on.Callers) }()
-	go func() { failed <- g.peerServer.Serve(on.Peers) }()
+	var tasks sync.WaitGroup
+	tasks.Go(func() { g.directory.Run(background) })
+	tasks.Go(func() { g.directory.Register(ctx) })
+	tasks.Go(func() { g.forwarder.Run(background) })
+	tasks.Go(func() { g.relay.Run(background) })
+	listenerErrs := make(chan error, 3)
+	go func() { listenerErrs <- g.adminServer.Serve(listeners.Operators) }()
+	go func() { listenerErrs <- g.callerServer.Serve(listeners.Callers) }()
+	go func() { listenerErrs <- g.peerServer.Serve(listeners.Peers) }()
 	var err error
 	select {
 	case <-ctx.Done():
 		g.shutdown()
-	case err = <-failed:
-		g.log.WithError(err).Error("a listener has failed")
+	case err = <-listenerErrs:
+		g.log.WithError(err).Error("listener failed")
 	}
 	stop()
 	_ = g.callerServer.Close()
@@ -258,7 +258,7 @@
 	g.peers.Close()
 	g.backends.Close()
 	g.metrics.Close()
-	parts.Wait()
+	tasks.Wait()
 	g.log.Info("stop")
 	return err
 }
--- a/node/gateway/roundtrip_linux.go
+++ b/node/gateway/roundtrip_linux.go
@@ -7,18 +7,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// roundTrip returns the round trip that the kernel has measured on a TCP connection.
+// roundTrip returns the kernel's smoothed round-trip time of a TCP connection.
 func roundTrip(conn net.Conn) time.Duration {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
-		return assumedRoundTrip
+		return defaultRoundTrip
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		return assumedRoundTrip
+		return defaultRoundTrip
 	}
-	measured := assumedRoundTrip
-	// An error leaves the assumed value: the connection has been closed.
+	measured := defaultRoundTrip
+	// An error means that the connection is closed. The default remains.
 	_ = raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil && info.Rtt > 0 {
--- a/node/gateway/roundtrip_other.go
+++ b/node/gateway/roundtrip_other.go
@@ -7,5 +7,5 @@
 	"time"
 )
 
-// roundTrip returns an assumed value where the kernel is not asked.
-func roundTrip(net.Conn) time.Duration { return assumedRoundTrip }
+// roundTrip returns a default: the kernel's measurement is read on Linux only.
+func roundTrip(net.Conn) time.Duration { return defaultRoundTrip }
--- a/node/gateway/shutdown.go
+++ b/node/gateway/shutdown.go
@@ -8,42 +8,43 @@
 )
 
 const (
-	// closeAfter is the part of the balancer's lag after which connections are closed
-	// with their next answer: earlier, callers would come back to this node, later,
-	// they would be left on it.
-	closeAfter = 0.7
-	// killMargin is left between the end of the shutdown and the kill.
+	// closeConnsAfter is the fraction of the balancer lag after which callers' connections
+	// are closed with their next answers. If they close earlier, callers may reconnect to
+	// this node; if they close later, callers may still use them when the listener closes.
+	closeConnsAfter = 0.7
+	// killMargin is the time between the shutdown deadline and the end of the grace period,
+	// when the platform kills the process.
 	killMargin = 300 * time.Millisecond
-	// peerMargin is left after the end of the other nodes' port. Senders that lost power
-	// never close their connections, and waiting for them until killMargin left too
-	// little of the grace for the rest: two processes of a day were killed.
-	peerMargin = 300 * time.Millisecond
+	// peerStopMargin is the time between the deadline of the peer server and the shutdown
+	// deadline. A peer that lost power never closes its connection. Without the margin, the
+	// wait for it could last until the process is killed.
+	peerStopMargin = 300 * time.Millisecond
 )
 
-// shutdown ends the node without cutting a request. The balancer goes on sending
-// callers until it notices that the node is unready, so callers are served during that
-// time; only then is the listener closed, and requests in flight finish.
+// shutdown stops the node without interrupting requests. The balancer continues to send
+// callers until it detects that the node is unready, so the node serves them during the
+// balancer lag. Then the listener closes and requests in flight finish.
 func (g *Gateway) shutdown() {
-	began := time.Now()
+	start := time.Now()
 	lag := time.Duration(g.settings.GetTiming().GetBalancerLagMs()) * time.Millisecond
-	end := began.Add(seconds(g.settings.GetForwarding().GetGraceS()) - killMargin)
+	end := start.Add(seconds(g.settings.GetForwarding().GetGraceS()) - killMargin)
 	g.stopping.Store(true)
 	g.ring.Add(ring.Shutdown, g.settings.GetNode(), "unready")
-	g.log.Info("shutdown: unready, serving until the balancer has noticed")
-	time.Sleep(time.Duration(closeAfter * float64(lag)))
+	g.log.Info("shutdown: unready, serving until the balancer stops sending callers")
+	time.Sleep(time.Duration(closeConnsAfter * float64(lag)))
 	g.closing.Store(true)
-	time.Sleep(time.Until(began.Add(lag)))
+	time.Sleep(time.Until(start.Add(lag)))
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
 	if err := g.callerServer.Shutdown(ctx); err != nil {
-		g.log.WithError(err).Warn("shutdown: callers were still waiting")
+		g.log.WithError(err).Warn("shutdown: callers' requests did not finish before the deadline")
 	}
-	g.stopPeerServer(end.Add(-peerMargin))
-	g.log.WithField("took_ms", time.Since(began).Milliseconds()).Info("shutdown: done")
+	g.stopPeerServer(end.Add(-peerStopMargin))
+	g.log.WithField("took_ms", time.Since(start).Milliseconds()).Info("shutdown: done")
 }
 
-// stopPeerServer ends the port of other nodes once the requests that they have sent here
-// are answered, or at the deadline. Heartbeats have told them to send no more.
+// stopPeerServer stops the peer server when its requests are finished, or at the deadline.
+// Heartbeat responses have already reported this node as unavailable to the other nodes.
 func (g *Gateway) stopPeerServer(deadline time.Time) {
 	done := make(chan struct{})
 	go func() {
@@ -55,7 +56,7 @@
 	select {
 	case <-done:
 	case <-timer.C:
-		g.log.Info("shutdown: other nodes were still connected")
+		g.log.Info("shutdown: closing connections of other nodes at the deadline")
 		g.peerServer.Stop()
 		<-done
 	}
