--- a/node/ring/ring.go
+++ b/node/ring/ring.go
@@ -1,5 +1,5 @@
-// Package ring keeps the latest decisions of a node in memory, so that operators
-// can ask afterwards why something happened.
+// Package ring keeps a node's most recent decisions in memory, so that operators can find
+// out why something happened.
 package ring
 
 import (
@@ -7,11 +7,10 @@
 	"time"
 )
 
-// Kind names a sort of decision.
+// Kind is the type of a decision.
 type Kind string
 
-// The decisions of owner, entry and shutdown. Those of fleet, execute and backend
-// are named where they are taken.
+// Kinds of decisions. Packages that do not import ring pass other kinds as strings.
 const (
 	ReplicaCold     Kind = "replica_cold"
 	ReplicaWarm     Kind = "replica_warm"
@@ -22,8 +21,8 @@
 	Shutdown        Kind = "shutdown"
 )
 
-// Decision is one entry. Subject names what it is about: a replica, a member, a
-// version or a service.
+// Decision is an entry of the ring. Subject is the replica, member, version or service that
+// the decision is about.
 type Decision struct {
 	Sequence uint64    `json:"sequence"`
 	Time     time.Time `json:"time"`
@@ -37,19 +36,19 @@
 	count func(kind string)
 
 	mu sync.Mutex
-	// entries and next are guarded by mu. entries[sequence % len] holds the
-	// decision of that sequence; sequences start at 0.
+	// mu guards entries and next. entries[sequence % len] holds the decision with that
+	// sequence number. Sequence numbers start at 0.
 	entries []Decision
 	next    uint64
 }
 
-// New returns a ring of the given size, at least 1. It calls count for each
-// decision.
+// New returns a ring for size decisions, at least 1. It calls count for each decision
+// added.
 func New(size int, count func(kind string)) *Ring {
 	return &Ring{count: count, entries: make([]Decision, max(size, 1))}
 }
 
-// Add records a decision, in place of the oldest one when the ring is full.
+// Add records a decision. When the ring is full, it replaces the oldest one.
 func (r *Ring) Add(kind Kind, subject, detail string) {
 	r.count(string(kind))
 	r.mu.Lock()
@@ -65,8 +64,8 @@
 	r.next++
 }
 
-// Decisions returns the decisions about a subject, oldest first; an empty
-// subject returns all.
+// Decisions returns the decisions about a subject, oldest first. An empty subject selects
+// all.
 func (r *Ring) Decisions(subject string) []Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
