--- a/node/work/inbox.go
+++ b/node/work/inbox.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// Inbox hands items from many goroutines to one, which takes all that are there at
-// once: under load a wake-up serves many items. Safe for concurrent use.
+// Inbox passes items from many goroutines to one receiver, which takes all queued items at
+// once: under load, one wake-up serves many items. Safe for concurrent use.
 type Inbox[T any] struct {
 	// mu guards items.
 	mu    sync.Mutex
@@ -11,13 +11,12 @@
 	ready chan struct{}
 }
 
-// NewInbox returns an empty inbox with room for that many items; more make it
-// grow.
-func NewInbox[T any](room int) *Inbox[T] {
-	return &Inbox[T]{items: make([]T, 0, room), ready: make(chan struct{}, 1)}
+// NewInbox returns an empty inbox with that initial capacity. It grows as needed.
+func NewInbox[T any](capacity int) *Inbox[T] {
+	return &Inbox[T]{items: make([]T, 0, capacity), ready: make(chan struct{}, 1)}
 }
 
-// Put adds items. It never waits for the receiver.
+// Put queues items. It never blocks.
 func (b *Inbox[T]) Put(items ...T) {
 	if len(items) == 0 {
 		return
@@ -35,12 +34,12 @@
 	}
 }
 
-// Ready receives after items were put into an empty inbox. Take may find it empty
-// all the same, when an earlier Take had them already.
+// Ready returns a channel that receives a value after items are put into an empty inbox.
+// Take may still return no items, when an earlier Take returned them.
 func (b *Inbox[T]) Ready() <-chan struct{} { return b.ready }
 
-// Take returns the items in the order in which they came. The inbox goes on in the
-// memory of used, which the caller gives up.
+// Take returns the queued items in the order of Put. The inbox reuses the memory of used,
+// which the caller must not access afterwards.
 func (b *Inbox[T]) Take(used []T) []T {
 	clear(used)
 	b.mu.Lock()
--- a/node/work/pool.go
+++ b/node/work/pool.go
@@ -1,11 +1,11 @@
-// Package work hands work between goroutines: Pool to a bounded number of workers,
-// which carry subrequests to backend servers, and Inbox from many to one.
+// Package work passes work between goroutines: Pool to a bounded number of workers, and
+// Inbox from many senders to one receiver.
 package work
 
 import "sync"
 
-// Pool runs tasks on a bounded number of goroutines, started as they are
-// needed. Safe for concurrent use.
+// Pool runs tasks on a bounded number of goroutines, which it starts on demand. Safe for
+// concurrent use.
 type Pool struct {
 	tasks chan func()
 	// mu guards workers and closed.
@@ -16,7 +16,7 @@
 	running sync.WaitGroup
 }
 
-// queuePerWorker bounds the tasks that wait for each worker.
+// queuePerWorker is the number of queued tasks per worker.
 const queuePerWorker = 4
 
 // NewPool returns a pool of at most limit workers.
@@ -28,8 +28,8 @@
 	}
 }
 
-// Go hands a task to a worker. It returns false, and the task does not run, when
-// the queue is full or the pool is closed.
+// Go queues a task for a worker. It returns false, and the task does not run, when the
+// queue is full or the pool is closed.
 func (p *Pool) Go(task func()) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,7 +56,7 @@
 	}
 }
 
-// Close lets the tasks taken so far finish and waits for them.
+// Close waits until all accepted tasks are finished. Later tasks are rejected.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	if !p.closed {
--- a/node/work/sleep.go
+++ b/node/work/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits for d or until ctx ends, and reports whether ctx is still alive.
+// Sleep waits for d or until ctx ends, and reports whether ctx is still active.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
