--- a/node/relay/world_test.go
+++ b/node/relay/cluster_test.go
@@ -25,8 +25,8 @@
 	"github.com/carobmill/carobmill/standin/memnet"
 )
 
-// node is one node of a fleet: what it knows of the store, and what its own forwarder
-// was asked.
+// node is one node of a fleet: the state of its view of the store, and the requests that
+// its own forwarder received.
 type node struct {
 	member coordinator.Member
 	host   string
@@ -41,19 +41,21 @@
 	stale     bool
 	leaving   bool
 	fleet     coordinator.Fleet
-	hurried   int
+	polls     int
 	served    []forward.Request
 	batches   []forward.Batch
-	// answers are the positions of the replicas of a batch that have answered.
+	// answers are the indexes of the replicas for which a batch is answered.
 	answers []int
-	// hold makes requests wait until their sender has gone; released counts those.
-	hold     bool
-	released int
-	// standing blocks the node while it is open.
-	standing chan struct{}
+	// block makes requests wait until their sender cancels them. cancelled counts those
+	// requests.
+	block     bool
+	cancelled int
+	// paused blocks the node's view of the store until it is closed; nil when the node
+	// runs.
+	paused chan struct{}
 }
 
-func (n *node) set(change func()) {
+func (n *node) update(change func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change()
@@ -61,10 +63,10 @@
 
 func (n *node) View() *directory.View {
 	n.mu.Lock()
-	standing := n.standing
+	paused := n.paused
 	n.mu.Unlock()
-	if standing != nil {
-		<-standing
+	if paused != nil {
+		<-paused
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -97,15 +99,16 @@
 
 func (n *node) MarkReliedOn() {}
 
-func (n *node) PollNow() { n.set(func() { n.hurried++ }) }
+func (n *node) PollNow() { n.update(func() { n.polls++ }) }
 
-// ServeBatch answers for each replica at once, or for none while the node holds requests.
+// ServeBatch answers for all replicas in n.answers in one message, or waits for ctx while
+// requests block.
 func (n *node) ServeBatch(ctx context.Context, b *forward.Batch, deliver func(forward.PartReplies) error) error {
 	n.mu.Lock()
 	n.batches = append(n.batches, *b)
-	hold, answers := n.hold, n.answers
+	block, answers := n.block, n.answers
 	n.mu.Unlock()
-	if hold {
+	if block {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -130,17 +133,17 @@
 	return n.leaving
 }
 
-func (n *node) Follow(on bool) { n.set(func() { n.following = on }) }
+func (n *node) Follow(on bool) { n.update(func() { n.following = on }) }
 
-// Serve stands in for the forwarder: what may not be repeated is not.
+// Serve is the node's local forwarder.
 func (n *node) Serve(ctx context.Context, req *forward.Request) forward.Answer {
 	n.mu.Lock()
 	n.served = append(n.served, *req)
-	hold, version := n.hold, n.version
+	block, version := n.block, n.version
 	n.mu.Unlock()
-	if hold {
+	if block {
 		<-ctx.Done()
-		n.set(func() { n.released++ })
+		n.update(func() { n.cancelled++ })
 		return forward.Answer{Outcome: forward.Late}
 	}
 	if n.Isolated() {
@@ -149,20 +152,20 @@
 	return forward.Answer{Outcome: forward.Passed, Status: 200, Body: []byte(n.member.Node), Version: version}
 }
 
-func (n *node) count() int {
+func (n *node) servedCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.served)
 }
 
-// stand makes the node's view of the store hang, on which a request waits before it is
-// taken, until the returned function is called.
-func (n *node) stand() (goOn func()) {
-	held := make(chan struct{})
-	n.set(func() { n.standing = held })
+// pause blocks the node's view of the store, which a request needs before it is accepted,
+// until resume is called.
+func (n *node) pause() (resume func()) {
+	paused := make(chan struct{})
+	n.update(func() { n.paused = paused })
 	return func() {
-		n.set(func() { n.standing = nil })
-		close(held)
+		n.update(func() { n.paused = nil })
+		close(paused)
 	}
 }
 
@@ -172,47 +175,48 @@
 	return n.following
 }
 
-// world is two coordinators and one small node.
-type world struct {
+// cluster is two coordinators and one small node that relays its requests.
+type cluster struct {
 	*qt.C
-	network *memnet.Network
-	fleet   coordinator.Fleet
-	big     [2]*node
-	small   *node
-	// storeAway makes readings of the registered nodes fail.
-	storeAway atomic.Bool
+	network      *memnet.Network
+	fleet        coordinator.Fleet
+	coordinators [2]*node
+	small        *node
+	// storeDown makes reading the registered nodes fail.
+	storeDown atomic.Bool
 }
 
-// run plays a test in virtual time, after the small node has found the coordinators.
-func run(t *testing.T, test func(w *world)) {
+// runTest runs a test in virtual time, after the small node has discovered the
+// coordinators.
+func runTest(t *testing.T, test func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{C: qt.New(t), network: memnet.New(time.Millisecond)}
+		c := &cluster{C: qt.New(t), network: memnet.New(time.Millisecond)}
 		ctx, cancel := context.WithCancel(t.Context())
 		for i, name := range []string{"big-1", "big-2"} {
-			w.big[i] = w.start(ctx, name, 0.8, coordinator.Fleet{})
-			w.fleet.Members = append(w.fleet.Members, w.big[i].member)
+			c.coordinators[i] = c.startNode(ctx, name, 0.8, coordinator.Fleet{})
+			c.fleet.Members = append(c.fleet.Members, c.coordinators[i].member)
 		}
-		w.fleet.Revision = 5
-		for _, n := range w.big {
-			n.set(func() { n.fleet = w.fleet })
+		c.fleet.Revision = 5
+		for _, n := range c.coordinators {
+			n.update(func() { n.fleet = c.fleet })
 		}
-		w.small = w.start(ctx, "small", 0.2, w.fleet)
+		c.small = c.startNode(ctx, "small", 0.2, c.fleet)
 		defer func() {
 			cancel()
-			for _, n := range []*node{w.big[0], w.big[1], w.small} {
+			for _, n := range []*node{c.coordinators[0], c.coordinators[1], c.small} {
 				n.server.Stop()
 			}
 			time.Sleep(time.Minute)
 		}()
 		time.Sleep(time.Second)
-		test(w)
+		test(c)
 	})
 }
 
-// start starts a node; registered is the fleet that it reads from the store.
-func (w *world) start(ctx context.Context, name string, capacity float64, registered coordinator.Fleet) *node {
-	l, err := w.network.Listen(name, "127.0.0.1:0")
-	w.Assert(err, qt.IsNil)
+// startNode starts a node. registered is the fleet that the store returns to it.
+func (c *cluster) startNode(ctx context.Context, name string, capacity float64, registered coordinator.Fleet) *node {
+	l, err := c.network.Listen(name, "127.0.0.1:0")
+	c.Assert(err, qt.IsNil)
 	n := &node{
 		host:    name,
 		version: 3,
@@ -223,11 +227,11 @@
 	go func() { _ = n.server.Serve(l) }()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	pool := peer.NewPool(nil, w.network.Dialer(name))
+	pool := peer.NewPool(nil, c.network.Dialer(name))
 	n.relay = relay.New(relay.Options{
 		Self: n.member, Pool: pool, Directory: n, Follow: n.Follow, Local: n, Leaving: n.Leaving, Log: log,
 		Registered: func(context.Context) (coordinator.Fleet, error) {
-			if w.storeAway.Load() {
+			if c.storeDown.Load() {
 				return coordinator.Fleet{}, errors.New("connection refused")
 			}
 			return registered, nil
@@ -240,21 +244,21 @@
 	return n
 }
 
-func (w *world) ask(method string) forward.Answer {
+func (c *cluster) sendRequest(method string) forward.Answer {
 	req := &forward.Request{ID: "q", Method: method, Target: "/x", Arrived: time.Now(), CallerTimeout: 5 * time.Second}
-	return w.small.relay.Serve(w.Context(), req)
+	return c.small.relay.Serve(c.Context(), req)
 }
 
-func (w *world) Context() context.Context { return context.Background() }
+func (c *cluster) Context() context.Context { return context.Background() }
 
-// answering is the coordinator that the small node uses, and the other one.
-func (w *world) answering() (used, other *node) {
-	name := string(w.ask("GET").Body)
-	for i, n := range w.big {
+// usedCoordinator returns the coordinator that the small node uses, and the other one.
+func (c *cluster) usedCoordinator() (used, other *node) {
+	name := string(c.sendRequest("GET").Body)
+	for i, n := range c.coordinators {
 		if n.member.Node == name {
-			return n, w.big[1-i]
+			return n, c.coordinators[1-i]
 		}
 	}
-	w.Fatalf("%q answered", name)
+	c.Fatalf("answer %q is not from a coordinator", name)
 	return nil, nil
 }
--- a/node/relay/exchange.go
+++ b/node/relay/exchange.go
@@ -15,58 +15,59 @@
 )
 
 const (
-	// offerTimeout bounds the wait for a coordinator's offer, opening the
-	// connection included. It takes a millisecond or two, and up to 80 where a VM's
-	// quota of processor time is used up for the rest of a tenth of a second.
+	// offerTimeout bounds the wait for a coordinator's offer, including the opening of the
+	// connection. It allows for a coordinator whose VM has used up its CPU quota for a
+	// scheduling period.
 	offerTimeout = 90 * time.Millisecond
-	// stoodStill is the lateness of a timer that tells that this process did not run.
-	stoodStill = 15 * time.Millisecond
-	// answerMargin is how much longer than its caller a request waits for the
-	// coordinator's answer, which ends in time by itself.
+	// pauseThreshold is the delay of a timer from which this process counts as paused.
+	pauseThreshold = 15 * time.Millisecond
+	// answerMargin is how much longer than the caller's timeout an exchange lasts. The
+	// coordinator itself answers before the caller's timeout.
 	answerMargin = 300 * time.Millisecond
 )
 
-// call is a request at a coordinator.
-type call struct {
+// relayedCall is a request in flight at a coordinator.
+type relayedCall struct {
 	cancel context.CancelFunc
 }
 
-// exchanged is what came of sending a request to a coordinator.
-type exchanged struct {
-	// begun is set before the coordinator is told to begin: until then it has not run
-	// and will not.
-	begun   bool
+// exchangeResult is the result of sending a request to a coordinator.
+type exchangeResult struct {
+	// started is set before the coordinator receives the message to begin. Until then the
+	// coordinator has not run the request and does not run it later.
+	started bool
 	refusal pb.RelayRefusal
 	answer  *forward.Answer
 }
 
-var errNoOffer = errors.New("no offer in time")
+var errNoOffer = errors.New("no offer from the coordinator before the timeout")
 
-// exchange offers a request to a coordinator, tells it to begin, and waits for its answer.
-func (r *Relay) exchange(ctx context.Context, to coordinator.Member, req *forward.Request) (result exchanged, err error) {
+// exchange sends a request to a coordinator, confirms the coordinator's offer, and waits
+// for the answer.
+func (r *Relay) exchange(ctx context.Context, to coordinator.Member, req *forward.Request) (result exchangeResult, err error) {
 	conn, err := r.opts.Pool.Connection(to.Address)
 	if err != nil {
 		return result, err
 	}
-	ctx, cancel := context.WithDeadline(ctx, req.Arrived.Add(patienceOf(req)+answerMargin))
+	ctx, cancel := context.WithDeadline(ctx, req.Arrived.Add(callerTimeout(req)+answerMargin))
 	defer cancel()
-	c := r.enter(to.Node, cancel)
-	defer r.leave(to.Node, c)
-	began := time.Now()
+	c := r.addInFlight(to.Node, cancel)
+	defer r.removeInFlight(to.Node, c)
+	start := time.Now()
 	var offered atomic.Bool
-	timer := limitOffer(began, &offered, cancel)
+	timer := startOfferTimer(start, &offered, cancel)
 	defer timer.Stop()
 	stream, err := peerv1.NewCoordinatorClient(conn).Relay(ctx)
 	if err != nil {
 		return result, err
 	}
-	if err := stream.Send(encode(req, r.leastVersion(), r.reserve(req))); err != nil {
+	if err := stream.Send(encodeRelayRequest(req, r.minVersion(), r.transitReserve(req))); err != nil {
 		return result, err
 	}
 	for {
 		m, err := stream.Recv()
 		if err != nil {
-			if !result.begun && time.Since(began) >= offerTimeout {
+			if !result.started && time.Since(start) >= offerTimeout {
 				err = errNoOffer
 			}
 			return result, err
@@ -77,9 +78,9 @@
 			return result, nil
 		case *pb.RelayResponse_Offer:
 			offered.Store(true)
-			r.offered(to.Node, time.Since(began))
-			result.begun = true
-			if err := stream.Send(begin()); err != nil {
+			r.recordOffer(to.Node, time.Since(start))
+			result.started = true
+			if err := stream.Send(beginMessage()); err != nil {
 				return result, err
 			}
 		case *pb.RelayResponse_Answer:
@@ -90,11 +91,12 @@
 	}
 }
 
-// limitOffer ends an exchange that gets no offer in time. A timer that comes late means that
-// this process was paused; the offer may be in its socket and gets some more time.
-func limitOffer(began time.Time, offered *atomic.Bool, cancel context.CancelFunc) *time.Timer {
+// startOfferTimer starts a timer that cancels an exchange without an offer after
+// offerTimeout. When the timer fires late, this process was paused: the offer may be in the
+// socket buffer, so the exchange gets more time.
+func startOfferTimer(start time.Time, offered *atomic.Bool, cancel context.CancelFunc) *time.Timer {
 	return time.AfterFunc(offerTimeout, func() {
-		if time.Since(began) > offerTimeout+stoodStill {
+		if time.Since(start) > offerTimeout+pauseThreshold {
 			time.Sleep(offerTimeout / 2)
 		}
 		if !offered.Load() {
@@ -103,18 +105,18 @@
 	})
 }
 
-func (r *Relay) enter(node string, cancel context.CancelFunc) *call {
+func (r *Relay) addInFlight(node string, cancel context.CancelFunc) *relayedCall {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := &call{cancel: cancel}
+	c := &relayedCall{cancel: cancel}
 	if r.inFlight[node] == nil {
-		r.inFlight[node] = make(map[*call]bool)
+		r.inFlight[node] = make(map[*relayedCall]bool)
 	}
 	r.inFlight[node][c] = true
 	return c
 }
 
-func (r *Relay) leave(node string, c *call) {
+func (r *Relay) removeInFlight(node string, c *relayedCall) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.inFlight[node], c)
@@ -123,9 +125,10 @@
 	}
 }
 
-// failed leaves a coordinator alone until a heartbeat reaches it. Its connection is
-// replaced: one that was forgotten on the way would swallow the heartbeats too.
-func (r *Relay) failed(to coordinator.Member, err error, refusal pb.RelayRefusal) {
+// markFailed records that a coordinator failed: it receives no requests until a heartbeat
+// succeeds. After an error its connection is replaced. A connection whose state was lost on
+// the network path would lose the heartbeats too.
+func (r *Relay) markFailed(to coordinator.Member, err error, refusal pb.RelayRefusal) {
 	r.mu.Lock()
 	first := r.table.RecordFailure(time.Now(), to.Node)
 	r.mu.Unlock()
@@ -135,13 +138,13 @@
 	if first {
 		r.opts.Log.WithFields(logrus.Fields{
 			"coordinator": to.Node, "refusal": refusal.String(), logrus.ErrorKey: err,
-		}).Warn("a coordinator is out of use")
+		}).Warn("coordinator marked as failed")
 	}
 }
 
-// abandon ends the requests that wait at a coordinator that is dead or cut off. They
-// would wait until their deadlines.
-func (r *Relay) abandon(node string) {
+// cancelInFlight cancels the requests in flight at a coordinator whose heartbeat failed.
+// Otherwise they wait until their deadlines.
+func (r *Relay) cancelInFlight(node string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.inFlight[node] {
--- a/node/relay/heartbeat.go
+++ b/node/relay/heartbeat.go
@@ -15,87 +15,92 @@
 )
 
 const (
-	// settleAfter is how long a smaller node looks for coordinators after its start
-	// before it follows the store by itself: larger VMs register within half a second.
-	settleAfter = 1500 * time.Millisecond
-	// registeredTimeout bounds reading the registered nodes.
-	registeredTimeout = time.Second
-	// lookAgain is how often it looks meanwhile.
-	lookAgain = 400 * time.Millisecond
-	// heartbeatWait is how long a heartbeat waits at the coordinator for news, and
-	// heartbeatSlack how much longer for its answer. A coordinator that lost its power
-	// is noticed after their sum, by a node that has two requests a second itself.
-	heartbeatWait  = 300 * time.Millisecond
-	heartbeatSlack = 200 * time.Millisecond
-	// inTouchWith is how many coordinators get heartbeats, best first: the second is
-	// known to be well when the first one dies. When half of a fleet lost its power, a
-	// request waited for the offers of up to three dead ones.
-	inTouchWith = 2
-	// trialTimeout bounds a heartbeat to a coordinator that was out of use.
-	trialTimeout = 250 * time.Millisecond
-	// trialEvery is how often is looked whether one is due while any is out of use;
-	// tendEvery while none is, and whether to follow the store; alone, a node without
-	// coordinators looks each aloneEvery.
-	trialEvery = 50 * time.Millisecond
-	tendEvery  = 250 * time.Millisecond
-	aloneEvery = time.Second
-	// followAfter is how long it has to be connected to none with new news before it
-	// follows the store without a request that needs it, and probeEvery how often it
-	// asks meanwhile whether the store answers at all.
-	followAfter = time.Second
-	probeEvery  = time.Second
-	// probesInARow is how many answers it wants: coordinators ask a store that was away
-	// again later than that, and small nodes hear of its return as soon as they do. After
-	// one answer half of the fleet would read the whole store and register.
-	probesInARow = 3
-	// restAfter is how long it has to be connected before it stops following the store
-	// by itself, so that a coordinator that comes and goes does not make it read the
-	// store over and over.
-	restAfter = 10 * time.Second
+	// discoveryTimeout is how long a smaller node looks for coordinators after its start
+	// before it follows the store itself. Larger VMs register sooner than that.
+	discoveryTimeout = 1500 * time.Millisecond
+	// readNodesTimeout bounds reading the registered nodes from the store.
+	readNodesTimeout = time.Second
+	// retryInterval is the average time between two reads of the registered nodes during
+	// discovery, and the time between heartbeats to a coordinator without a configuration.
+	retryInterval = 400 * time.Millisecond
+	// heartbeatWait is how long a heartbeat waits at the coordinator for a change of its
+	// state, and heartbeatMargin how much longer the sender waits for the response. Their
+	// sum bounds the time to detect a coordinator that lost power.
+	heartbeatWait   = 300 * time.Millisecond
+	heartbeatMargin = 200 * time.Millisecond
+	// heartbeatPeers is the number of coordinators that receive heartbeats, in order of
+	// preference. With only one, a request may wait for the offers of several dead
+	// coordinators when many fail at once.
+	heartbeatPeers = 2
+	// probeTimeout bounds a heartbeat to a failed coordinator or neighbour.
+	probeTimeout = 250 * time.Millisecond
+	// Intervals at which runProbes looks for a probe to send and updates whether this node
+	// follows the store: failedCheckInterval while any coordinator is failed,
+	// healthyCheckInterval while none is, and emptyCheckInterval while the fleet has no
+	// coordinator for this node.
+	failedCheckInterval  = 50 * time.Millisecond
+	healthyCheckInterval = 250 * time.Millisecond
+	emptyCheckInterval   = time.Second
+	// followDelay is how long this node must be without a current coordinator before it
+	// follows the store, unless a request requires it earlier. Meanwhile the node probes
+	// the store at storeProbeInterval.
+	followDelay        = time.Second
+	storeProbeInterval = time.Second
+	// storeProbesRequired is the number of consecutive answers of the store before this
+	// node follows it. After an outage of the store, coordinators need some time to become
+	// current again. If one answer sufficed, many small nodes would read the whole store
+	// and register during that time.
+	storeProbesRequired = 3
+	// unfollowDelay is how long this node must have a current coordinator before it stops
+	// following the store. With a shorter time, an unstable coordinator makes this node
+	// read the whole store repeatedly.
+	unfollowDelay = 10 * time.Second
 )
 
-// Run finds coordinators and keeps in touch with them until ctx ends.
+// Run discovers coordinators and exchanges heartbeats with them until ctx ends.
 func (r *Relay) Run(ctx context.Context) {
 	r.mu.Lock()
 	r.started = time.Now()
 	r.mu.Unlock()
 	if r.opts.Self.FollowsStoreAtStart() {
-		r.follow(true)
+		r.setFollowing(true)
 	} else {
-		r.settle(ctx)
+		r.discover(ctx)
 	}
-	go r.tend(ctx)
-	for rank := 1; rank < inTouchWith; rank++ {
-		go r.stayInTouch(ctx, rank)
+	go r.runProbes(ctx)
+	for rank := 1; rank < heartbeatPeers; rank++ {
+		go r.sendHeartbeats(ctx, rank)
 	}
-	r.stayInTouch(ctx, 0)
+	r.sendHeartbeats(ctx, 0)
 }
 
-// stayInTouch sends heartbeats to the coordinator of a rank until ctx ends.
-func (r *Relay) stayInTouch(ctx context.Context, rank int) {
+// sendHeartbeats sends heartbeats to the coordinator with that rank until ctx ends.
+func (r *Relay) sendHeartbeats(ctx context.Context, rank int) {
 	last := ""
 	for ctx.Err() == nil {
-		r.keep(r.opts.Directory.Fleet())
-		to, ok := r.ranked(rank)
+		r.updateFleet(r.opts.Directory.Fleet())
+		to, ok := r.coordinatorAtRank(rank)
 		if !ok {
-			work.Sleep(ctx, aloneEvery)
+			work.Sleep(ctx, emptyCheckInterval)
 			continue
 		}
 		wait := heartbeatWait
 		if to.Node != last {
-			// Whether it answers at all is to be known at once.
+			// The first heartbeat is answered at once, so that an unreachable coordinator
+			// is detected early.
 			wait = 0
 		}
 		last = to.Node
-		r.beat(ctx, to, wait, wait+heartbeatSlack)
+		r.sendHeartbeat(ctx, to, wait, wait+heartbeatMargin)
 	}
 }
 
-// ranked returns the coordinator that would be the next choice after others were tried.
-func (r *Relay) ranked(rank int) (coordinator.Member, bool) {
+// coordinatorAtRank returns the coordinator at a rank in the order of preference. Rank 0 is
+// the first choice.
+func (r *Relay) coordinatorAtRank(rank int) (coordinator.Member, bool) {
 	tried := make(map[string]bool)
 	for {
-		to, _, ok := r.pick(tried)
+		to, _, ok := r.pickCoordinator(tried)
 		if !ok || len(tried) == rank {
 			return to, ok
 		}
@@ -103,53 +108,55 @@
 	}
 }
 
-// settle looks for coordinators for a while, and follows the store if there are none.
-func (r *Relay) settle(ctx context.Context) {
-	until := time.Now().Add(settleAfter)
+// discover looks for coordinators until discoveryTimeout, and follows the store if there
+// are none.
+func (r *Relay) discover(ctx context.Context) {
+	until := time.Now().Add(discoveryTimeout)
 	for ctx.Err() == nil && time.Now().Before(until) {
-		r.readRegistered(ctx)
-		if _, _, ok := r.pick(nil); ok {
+		r.readRegisteredNodes(ctx)
+		if _, _, ok := r.pickCoordinator(nil); ok {
 			return
 		}
-		work.Sleep(ctx, lookAgain/2+rand.N(lookAgain))
+		work.Sleep(ctx, retryInterval/2+rand.N(retryInterval))
 	}
-	r.follow(true)
+	r.setFollowing(true)
 }
 
-func (r *Relay) keep(f coordinator.Fleet) {
+func (r *Relay) updateFleet(f coordinator.Fleet) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.Update(f)
 }
 
-// beat sends one heartbeat and takes what it tells.
-func (r *Relay) beat(ctx context.Context, to coordinator.Member, wait, timeout time.Duration) {
-	resp, err := r.heartbeat(ctx, to, wait, timeout)
+// sendHeartbeat sends one heartbeat and applies its result.
+func (r *Relay) sendHeartbeat(ctx context.Context, to coordinator.Member, wait, timeout time.Duration) {
+	resp, err := r.callHeartbeat(ctx, to, wait, timeout)
 	if ctx.Err() != nil {
 		return
 	}
 	if err != nil {
-		r.failed(to, err, 0)
-		r.abandon(to.Node)
+		r.markFailed(to, err, 0)
+		r.cancelInFlight(to.Node)
 		return
 	}
 	if resp.GetUnavailable() {
-		r.failed(to, nil, pb.RelayRefusal_RELAY_REFUSAL_UNSPECIFIED)
+		r.markFailed(to, nil, pb.RelayRefusal_RELAY_REFUSAL_UNSPECIFIED)
 	} else {
-		r.reached(to, coordinator.Condition{
+		r.recordHeartbeat(to, coordinator.Condition{
 			Configured: resp.GetConfigured(), Stale: resp.GetStale(), Isolated: resp.GetIsolated(),
 		})
 	}
 	if resp.GetConfigured() {
 		r.maxBodyBytes.Store(int64(min(resp.GetMaxBodyBytes(), math.MaxInt64)))
 	} else {
-		// It answers at once then, so that its callers come as soon as it can serve.
-		work.Sleep(ctx, lookAgain)
+		// A coordinator without a configuration answers heartbeats at once, so that its
+		// senders learn early that it can serve.
+		work.Sleep(ctx, retryInterval)
 	}
-	r.keep(decodeFleet(resp))
+	r.updateFleet(decodeFleet(resp))
 }
 
-func (r *Relay) heartbeat(ctx context.Context, to coordinator.Member, wait, timeout time.Duration) (*pb.HeartbeatResponse, error) {
+func (r *Relay) callHeartbeat(ctx context.Context, to coordinator.Member, wait, timeout time.Duration) (*pb.HeartbeatResponse, error) {
 	conn, err := r.opts.Pool.Connection(to.Address)
 	if err != nil {
 		return nil, err
@@ -164,89 +171,90 @@
 	})
 }
 
-func (r *Relay) reached(to coordinator.Member, c coordinator.Condition) {
+func (r *Relay) recordHeartbeat(to coordinator.Member, c coordinator.Condition) {
 	r.mu.Lock()
 	again := r.table.RecordHeartbeat(time.Now(), to.Node, c)
 	r.mu.Unlock()
 	if again {
-		r.opts.Log.WithFields(logrus.Fields{"coordinator": to.Node}).Info("a coordinator is in use again")
+		r.opts.Log.WithFields(logrus.Fields{"coordinator": to.Node}).Info("coordinator recovered")
 	}
 }
 
-// tend sends heartbeats to coordinators that are not in use, and judges whether this
-// node has to follow the store.
-func (r *Relay) tend(ctx context.Context) {
-	role := role{since: time.Now()}
+// runProbes sends probes to failed coordinators and updates whether this node follows the
+// store, until ctx ends.
+func (r *Relay) runProbes(ctx context.Context) {
+	following := followState{since: time.Now()}
 	for ctx.Err() == nil {
 		now := time.Now()
 		r.mu.Lock()
-		next := r.nextLook()
-		to, due := r.table.NextProbe(now)
+		interval := r.checkInterval()
+		to, probeDue := r.table.NextProbe(now)
 		r.mu.Unlock()
-		if due {
-			r.beat(ctx, to, 0, trialTimeout)
+		if probeDue {
+			r.sendHeartbeat(ctx, to, 0, probeTimeout)
 		}
-		r.judgeRole(ctx, &role)
-		work.Sleep(ctx, next)
+		r.updateFollowing(ctx, &following)
+		work.Sleep(ctx, interval)
 	}
 }
 
-// nextLook is when to look again. r.mu is held.
-func (r *Relay) nextLook() time.Duration {
+// checkInterval returns the time until the next check. r.mu is held.
+func (r *Relay) checkInterval() time.Duration {
 	switch {
 	case r.table.Empty():
-		return aloneEvery
+		return emptyCheckInterval
 	case r.table.AllUsable():
-		return tendEvery
+		return healthyCheckInterval
 	}
-	return trialEvery
+	return failedCheckInterval
 }
 
-// role is whether this node is connected to a coordinator with new news, since when,
-// when the store was asked last, and how often in a row it has answered.
-type role struct {
-	connected bool
-	since     time.Time
-	probed    time.Time
-	answers   int
+// followState is what updateFollowing evaluates: whether this node has a current
+// coordinator and since when, the time of the last probe of the store, and the number of
+// consecutive answers.
+type followState struct {
+	current  bool
+	since    time.Time
+	probedAt time.Time
+	answers  int
 }
 
-// judgeRole makes this node follow the store once it has been connected to no
-// coordinator with new news for a while and the store answers, and rest once it has been
-// connected for longer.
-func (r *Relay) judgeRole(ctx context.Context, last *role) {
+// updateFollowing makes this node follow the store after it had no current coordinator for
+// followDelay and the store answers, and stop following it after it had one for
+// unfollowDelay.
+func (r *Relay) updateFollowing(ctx context.Context, s *followState) {
 	now := time.Now()
-	if c := r.connection().Current; c != last.connected {
-		last.connected, last.since, last.answers = c, now, 0
+	if c := r.connection().Current; c != s.current {
+		s.current, s.since, s.answers = c, now, 0
 	}
-	lasted := now.Sub(last.since)
+	elapsed := now.Sub(s.since)
 	switch {
-	case last.connected && lasted >= restAfter && !r.opts.Leaving():
-		r.follow(false)
-	case last.connected || lasted < followAfter || now.Sub(last.probed) < probeEvery || r.opts.Directory.Synced():
+	case s.current && elapsed >= unfollowDelay && !r.opts.Leaving():
+		r.setFollowing(false)
+	case s.current || elapsed < followDelay || now.Sub(s.probedAt) < storeProbeInterval || r.opts.Directory.Synced():
 	default:
-		last.probed = now
-		if !r.readRegistered(ctx) {
-			last.answers = 0
+		s.probedAt = now
+		if !r.readRegisteredNodes(ctx) {
+			s.answers = 0
 			return
 		}
-		last.answers++
-		if last.answers >= probesInARow {
-			r.follow(true)
+		s.answers++
+		if s.answers >= storeProbesRequired {
+			r.setFollowing(true)
 		}
 	}
 }
 
-// readRegistered reads the registered nodes and reports whether the store answered.
-func (r *Relay) readRegistered(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, registeredTimeout)
+// readRegisteredNodes reads the registered nodes and reports whether the store answered.
+func (r *Relay) readRegisteredNodes(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, readNodesTimeout)
 	defer cancel()
 	fleet, err := r.opts.Registered(ctx)
 	if err != nil {
-		r.opts.Log.WithError(err).Debug("the registered nodes cannot be read")
+		r.opts.Log.WithError(err).Debug("cannot read the registered nodes")
 		return false
 	}
-	r.keep(fleet)
+	r.updateFleet(fleet)
 	return true
 }
 
@@ -259,8 +267,8 @@
 // Ready reports whether a coordinator can answer requests of this node's callers.
 func (r *Relay) Ready() bool { return r.connection().Serving }
 
-// Isolated reports whether this node's data centre reaches no other one, as its coordinators
-// say. A node that follows the store but sends nothing itself would not know.
+// Isolated reports whether the coordinators of this node's data centre reach no other data
+// centre. A node that relays its requests cannot detect this itself.
 func (r *Relay) Isolated() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/node/relay/neighbours.go
+++ b/node/relay/neighbours.go
@@ -21,11 +21,11 @@
 	"github.com/carobmill/carobmill/policy/coordinator"
 )
 
-// batchSilence is how long a node may be silent about a batch before others get the next
-// ones.
-const batchSilence = 90 * time.Millisecond
+// firstReplyTimeout is how long a node may take until its first reply to a batch. After
+// that it is marked as failed and receives no further batches.
+const firstReplyTimeout = 90 * time.Millisecond
 
-// Neighbours implements forward.BatchSender over connections between nodes. Safe for
+// Neighbours implements forward.BatchSender over the connections between nodes. Safe for
 // concurrent use.
 type Neighbours struct {
 	pool  *peer.Pool
@@ -37,10 +37,10 @@
 	nodes *coordinator.Neighbours
 }
 
-// NewNeighbours returns the nodes of a fleet as neighbours of one of them.
-func NewNeighbours(own coordinator.Member, pool *peer.Pool, fleet func() coordinator.Fleet, log logrus.FieldLogger) *Neighbours {
+// NewNeighbours returns a sender of batches from the node self to the nodes of a fleet.
+func NewNeighbours(self coordinator.Member, pool *peer.Pool, fleet func() coordinator.Fleet, log logrus.FieldLogger) *Neighbours {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	return &Neighbours{pool: pool, fleet: fleet, log: log, nodes: coordinator.NewNeighbours(own, rng)}
+	return &Neighbours{pool: pool, fleet: fleet, log: log, nodes: coordinator.NewNeighbours(self, rng)}
 }
 
 // SendBatch implements forward.BatchSender.
@@ -48,55 +48,58 @@
 	fleet := n.fleet()
 	n.mu.Lock()
 	to, ok := n.nodes.Pick(fleet, dataCentre)
-	failed, due := n.nodes.NextProbe(time.Now(), fleet)
+	failed, probeDue := n.nodes.NextProbe(time.Now(), fleet)
 	n.mu.Unlock()
-	if due {
-		go n.prove(failed)
+	if probeDue {
+		go n.probe(failed)
 	}
 	if !ok {
 		return "", false
 	}
 	conn, err := n.pool.Connection(to.Address)
 	if err != nil {
-		n.failed(to, err)
+		n.markFailed(to, err)
 		return "", false
 	}
 	x := &batchExchange{to: to, conn: conn, message: encodeBatch(b), answered: make([]bool, len(b.Replicas)), deliver: deliver}
-	go n.carry(ctx, x)
+	go n.runBatch(ctx, x)
 	return to.Node, true
 }
 
-// batchExchange is a batch at a neighbour.
+// batchExchange is a batch in flight at a neighbour.
 type batchExchange struct {
 	to      coordinator.Member
 	conn    grpc.ClientConnInterface
 	message *pb.GatherBatch
-	// answered is set for each replica that has a reply, heard once there is any.
+	// answered is set for each replica that has a reply. replied is set once any reply was
+	// received.
 	answered []bool
-	heard    bool
+	replied  bool
 	deliver  func(forward.PartReplies)
 }
 
-// carry sends a batch, delivers its replies, and makes up those that do not come.
-func (n *Neighbours) carry(parent context.Context, x *batchExchange) {
-	began := time.Now()
+// runBatch sends a batch, delivers its replies, and delivers a failure for each replica
+// without one.
+func (n *Neighbours) runBatch(parent context.Context, x *batchExchange) {
+	start := time.Now()
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
-	silent := time.AfterFunc(batchSilence, cancel)
-	defer silent.Stop()
-	err := n.receive(ctx, x, silent)
-	missing := unanswered(x.answered, lostReply(err, x.heard, time.Since(began)))
+	firstReplyTimer := time.AfterFunc(firstReplyTimeout, cancel)
+	defer firstReplyTimer.Stop()
+	err := n.receiveReplies(ctx, x, firstReplyTimer)
+	missing := unansweredReplies(x.answered, missingReply(err, x.replied, time.Since(start)))
 	if len(missing) == 0 {
 		return
 	}
 	if parent.Err() == nil {
-		n.failed(x.to, err)
+		n.markFailed(x.to, err)
 	}
 	x.deliver(forward.PartReplies{Replies: missing})
 }
 
-// receive takes the replies of a batch until the stream ends. The first one stops silent.
-func (n *Neighbours) receive(ctx context.Context, x *batchExchange, silent *time.Timer) error {
+// receiveReplies delivers the replies of a batch until the stream ends. The first message
+// stops firstReplyTimer.
+func (n *Neighbours) receiveReplies(ctx context.Context, x *batchExchange, firstReplyTimer *time.Timer) error {
 	stream, err := peerv1.NewCoordinatorClient(x.conn).Gather(ctx, x.message)
 	if err != nil {
 		return err
@@ -106,44 +109,45 @@
 		if err != nil {
 			return err
 		}
-		x.heard = true
-		silent.Stop()
+		x.replied = true
+		firstReplyTimer.Stop()
 		r := decodeReplies(m)
-		if !x.accept(r) {
+		if !x.markAnswered(r) {
 			return errMalformed
 		}
-		if lacksReplica(r) {
-			n.failed(x.to, errBehind)
+		if hasUnknownReplica(r) {
+			n.markFailed(x.to, errUnknownReplica)
 		}
 		x.deliver(r)
 	}
 }
 
-// prove sends a heartbeat to a neighbour that is out of use.
-func (n *Neighbours) prove(to coordinator.Member) {
+// probe sends a heartbeat to a failed neighbour.
+func (n *Neighbours) probe(to coordinator.Member) {
 	conn, err := n.pool.Connection(to.Address)
 	if err != nil {
-		n.failed(to, err)
+		n.markFailed(to, err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), trialTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	resp, err := peerv1.NewCoordinatorClient(conn).Heartbeat(ctx, &pb.HeartbeatRequest{})
 	if err != nil || resp.GetUnavailable() || resp.GetStale() || !resp.GetConfigured() {
-		n.failed(to, err)
+		n.markFailed(to, err)
 		return
 	}
 	n.mu.Lock()
 	again := n.nodes.RecordSuccess(to.Node)
 	n.mu.Unlock()
 	if again {
-		n.log.WithField("neighbour", to.Node).Info("neighbour in use again")
+		n.log.WithField("neighbour", to.Node).Info("neighbour recovered")
 	}
 }
 
-// failed takes a neighbour out of use. Its connection is replaced: one that was forgotten
-// on the way would swallow heartbeats too.
-func (n *Neighbours) failed(to coordinator.Member, err error) {
+// markFailed marks a neighbour as failed. Its connection is replaced, unless only a replica
+// was unknown: a connection whose state was lost on the network path would lose heartbeats
+// too.
+func (n *Neighbours) markFailed(to coordinator.Member, err error) {
 	n.mu.Lock()
 	first := false
 	if status.Code(err) == codes.Unimplemented {
@@ -153,29 +157,32 @@
 	}
 	n.mu.Unlock()
 	if first {
-		if !errors.Is(err, errBehind) {
+		if !errors.Is(err, errUnknownReplica) {
 			n.pool.Replace(to.Address)
 		}
-		n.log.WithFields(logrus.Fields{"neighbour": to.Node, logrus.ErrorKey: err}).Info("neighbour out of use: it did not answer a batch")
+		n.log.WithFields(logrus.Fields{"neighbour": to.Node, logrus.ErrorKey: err}).Info("neighbour marked as failed")
 	}
 }
 
-// errBehind tells that a node does not know a replica. It may have lost the store.
-var errBehind = errors.New("replica not known there")
+// errUnknownReplica means that a neighbour does not have a replica. Its view of the store
+// may be out of date.
+var errUnknownReplica = errors.New("neighbour does not have the replica")
 
-// lacksReplica reports whether a node did not know one of the replicas.
-func lacksReplica(r forward.PartReplies) bool {
+// hasUnknownReplica reports whether a neighbour did not have one of the replicas.
+func hasUnknownReplica(r forward.PartReplies) bool {
 	return slices.ContainsFunc(r.Replies, func(p forward.PartReply) bool {
 		return p.Reply.Reason == pb.Reason_REASON_NO_REPLICA
 	})
 }
 
-// errMalformed tells that a node answered for a replica that it was not sent, or twice.
-var errMalformed = errors.New("malformed replies")
+// errMalformed means that a neighbour replied for a replica that is not in the batch, or
+// twice for one.
+var errMalformed = errors.New("reply for a replica that is not in the batch or was already answered")
 
-// accept notes which replicas have answered, and reports whether each was asked and answers
-// for the first time. Records of a group of others cannot be used.
-func (x *batchExchange) accept(r forward.PartReplies) bool {
+// markAnswered records which replicas have answered. It reports false when a replica is not
+// in the batch or has already answered. The whole message is rejected then, because its
+// records cannot be attributed to single replicas.
+func (x *batchExchange) markAnswered(r forward.PartReplies) bool {
 	before := slices.Clone(x.answered)
 	for _, reply := range r.Replies {
 		if reply.Replica >= len(x.answered) || x.answered[reply.Replica] {
@@ -187,8 +194,8 @@
 	return true
 }
 
-// unanswered returns a reply for each replica that has none.
-func unanswered(answered []bool, reply backend.ForwardReply) []forward.PartReply {
+// unansweredReplies returns reply for each replica without a reply.
+func unansweredReplies(answered []bool, reply backend.ForwardReply) []forward.PartReply {
 	var list []forward.PartReply
 	for i, done := range answered {
 		if !done {
@@ -198,14 +205,15 @@
 	return list
 }
 
-// lostReply is what came of the attempts that a neighbour said nothing of. Where it has told
-// of others, it was the replicas that took that long.
-func lostReply(err error, heard bool, took time.Duration) backend.ForwardReply {
+// missingReply returns the reply for attempts that the neighbour did not report. If it
+// reported others before the batch was cancelled, the replicas were slow, not the
+// neighbour.
+func missingReply(err error, replied bool, took time.Duration) backend.ForwardReply {
 	reply := backend.ForwardReply{Evidence: pb.Evidence_EVIDENCE_UNKNOWN, Reason: pb.Reason_REASON_PEER}
 	switch code := status.Code(err); {
 	case code == codes.Unimplemented:
 		reply.Evidence = pb.Evidence_EVIDENCE_NOT_RUN
-	case heard && (code == codes.Canceled || code == codes.DeadlineExceeded):
+	case replied && (code == codes.Canceled || code == codes.DeadlineExceeded):
 		reply.Reason, reply.Took = pb.Reason_REASON_CANCELLED, took
 	}
 	return reply
--- a/node/relay/neighbours_test.go
+++ b/node/relay/neighbours_test.go
@@ -16,25 +16,26 @@
 	"github.com/carobmill/carobmill/policy/coordinator"
 )
 
-// sender is a node of another data centre that sends batches to the world's large ones.
-type sender struct {
-	w          *world
+// batchSender is a node of another data centre that sends batches to the coordinators of a
+// cluster.
+type batchSender struct {
+	cluster    *cluster
 	neighbours *relay.Neighbours
 	pool       *peer.Pool
 }
 
-func (w *world) sender() *sender {
+func (c *cluster) newBatchSender() *batchSender {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	pool := peer.NewPool(nil, w.network.Dialer("sender"))
-	own := coordinator.Member{Node: "sender", DataCentre: "z", Capacity: 0.8}
-	fleet := func() coordinator.Fleet { return w.fleet }
-	return &sender{w: w, pool: pool, neighbours: relay.NewNeighbours(own, pool, fleet, log)}
+	pool := peer.NewPool(nil, c.network.Dialer("sender"))
+	self := coordinator.Member{Node: "sender", DataCentre: "z", Capacity: 0.8}
+	fleet := func() coordinator.Fleet { return c.fleet }
+	return &batchSender{cluster: c, pool: pool, neighbours: relay.NewNeighbours(self, pool, fleet, log)}
 }
 
-// send sends a batch for two replicas and returns what came of it; ok is false when no
-// node could be used.
-func (s *sender) send() (node string, replies []forward.PartReply, records string, ok bool) {
+// send sends a batch for two replicas and returns the replies. ok is false when no node is
+// usable.
+func (s *batchSender) send() (node string, replies []forward.PartReply, records string, ok bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	b := &forward.Batch{
@@ -51,116 +52,117 @@
 	return node, replies, records, ok
 }
 
-// TestBatchPreservesRequestAndReplies is the path of a batch and its replies between two nodes.
+// TestBatchPreservesRequestAndReplies guards against fields of a batch or its replies that
+// are lost between two nodes.
 func TestBatchPreservesRequestAndReplies(t *testing.T) {
-	run(t, func(w *world) {
-		s := w.sender()
+	runTest(t, func(c *cluster) {
+		s := c.newBatchSender()
 		defer s.pool.Close()
 		node, replies, records, ok := s.send()
-		w.Assert(ok, qt.IsTrue)
-		w.Assert(records, qt.Equals, node)
-		w.Assert(replies, qt.HasLen, 2)
+		c.Assert(ok, qt.IsTrue)
+		c.Assert(records, qt.Equals, node)
+		c.Assert(replies, qt.HasLen, 2)
 		for i, p := range replies {
-			w.Assert(p.Replica, qt.Equals, i)
-			w.Assert(p.Reply.Status, qt.Equals, 200)
-			w.Assert(p.Reply.Notes.Signature, qt.Equals, []string{"r0", "r1"}[i])
+			c.Assert(p.Replica, qt.Equals, i)
+			c.Assert(p.Reply.Status, qt.Equals, 200)
+			c.Assert(p.Reply.Notes.Signature, qt.Equals, []string{"r0", "r1"}[i])
 		}
-		for _, n := range w.big {
+		for _, n := range c.coordinators {
 			for _, b := range n.batches {
-				w.Assert(b.Request.Header.Get("A"), qt.Equals, "1")
-				w.Assert(b.TopRecords, qt.Equals, 20)
+				c.Assert(b.Request.Header.Get("A"), qt.Equals, "1")
+				c.Assert(b.TopRecords, qt.Equals, 20)
 				left := time.Until(b.Deadline)
-				w.Assert(left > 900*time.Millisecond && left <= time.Second, qt.IsTrue, qt.Commentf("%v left", left))
+				c.Assert(left > 900*time.Millisecond && left <= time.Second, qt.IsTrue, qt.Commentf("%v left", left))
 			}
 		}
 	})
 }
 
-// TestUnresponsiveNeighbourIsUnusedUntilHeartbeatSucceeds guards against batches that vanish at a
-// node that is cut off, one after the other.
+// TestUnresponsiveNeighbourIsUnusedUntilHeartbeatSucceeds guards against losing more than
+// one batch to each unreachable node.
 func TestUnresponsiveNeighbourIsUnusedUntilHeartbeatSucceeds(t *testing.T) {
-	run(t, func(w *world) {
-		s := w.sender()
+	runTest(t, func(c *cluster) {
+		s := c.newBatchSender()
 		defer s.pool.Close()
 		s.send()
-		for _, n := range w.big {
-			w.network.Cut("sender", n.host)
+		for _, n := range c.coordinators {
+			c.network.Cut("sender", n.host)
 		}
 		lost := 0
 		for range 10 {
-			began := time.Now()
+			start := time.Now()
 			_, replies, _, ok := s.send()
 			if !ok {
 				continue
 			}
 			lost++
-			w.Assert(time.Since(began) < 120*time.Millisecond, qt.IsTrue)
+			c.Assert(time.Since(start) < 120*time.Millisecond, qt.IsTrue)
 			for _, p := range replies {
-				w.Assert(p.Reply.Reason, qt.Equals, pb.Reason_REASON_PEER)
-				w.Assert(p.Reply.Evidence, qt.Equals, pb.Evidence_EVIDENCE_UNKNOWN)
+				c.Assert(p.Reply.Reason, qt.Equals, pb.Reason_REASON_PEER)
+				c.Assert(p.Reply.Evidence, qt.Equals, pb.Evidence_EVIDENCE_UNKNOWN)
 			}
 		}
-		w.Assert(lost, qt.Equals, len(w.big), qt.Commentf("each node may lose one batch"))
-		for _, n := range w.big {
-			w.network.Mend("sender", n.host)
+		c.Assert(lost, qt.Equals, len(c.coordinators), qt.Commentf("batches lost, at most one per node"))
+		for _, n := range c.coordinators {
+			c.network.Mend("sender", n.host)
 		}
 		for range 20 {
 			time.Sleep(500 * time.Millisecond)
 			s.send()
 		}
 		_, _, _, ok := s.send()
-		w.Assert(ok, qt.IsTrue)
+		c.Assert(ok, qt.IsTrue)
 	})
 }
 
-// TestSlowReplicasDoNotDisableNeighbour guards against a node that is left since its
-// sender gave up before the replicas answered.
+// TestSlowReplicasDoNotDisableNeighbour guards against marking a node as failed when its
+// sender cancels a batch before the replicas answer.
 func TestSlowReplicasDoNotDisableNeighbour(t *testing.T) {
-	run(t, func(w *world) {
-		s := w.sender()
+	runTest(t, func(c *cluster) {
+		s := c.newBatchSender()
 		defer s.pool.Close()
-		for _, n := range w.big {
-			n.set(func() { n.hold = true })
+		for _, n := range c.coordinators {
+			n.update(func() { n.block = true })
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		b := &forward.Batch{Request: &forward.Request{ID: "q"}, Replicas: []string{"r0"}, Deadline: time.Now().Add(time.Second)}
 		got := make(chan forward.PartReplies, 1)
 		_, ok := s.neighbours.SendBatch(ctx, "a", b, func(r forward.PartReplies) { got <- r })
-		w.Assert(ok, qt.IsTrue)
-		w.Assert((<-got).Replies, qt.HasLen, 1)
-		for _, n := range w.big {
-			n.set(func() { n.hold = false })
+		c.Assert(ok, qt.IsTrue)
+		c.Assert((<-got).Replies, qt.HasLen, 1)
+		for _, n := range c.coordinators {
+			n.update(func() { n.block = false })
 		}
 		used := make(map[string]bool)
 		for range 20 {
 			node, _, _, ok := s.send()
-			w.Assert(ok, qt.IsTrue)
+			c.Assert(ok, qt.IsTrue)
 			used[node] = true
 		}
-		w.Assert(used, qt.HasLen, 2)
+		c.Assert(used, qt.HasLen, 2)
 	})
 }
 
-// TestMalformedRepliesFailBatch guards against an attempt that is settled twice since a
-// faulty node tells of it twice, or of one that it was not sent.
+// TestMalformedRepliesFailBatch guards against completing an attempt twice when a faulty
+// node replies twice for it, or for a replica that is not in the batch.
 func TestMalformedRepliesFailBatch(t *testing.T) {
-	for name, replicas := range map[string][]int{"twice": {0, 0}, "not sent": {0, 7}} {
-		run(t, func(w *world) {
-			s := w.sender()
+	for name, replicas := range map[string][]int{"duplicate reply": {0, 0}, "replica not in the batch": {0, 7}} {
+		runTest(t, func(c *cluster) {
+			s := c.newBatchSender()
 			defer s.pool.Close()
-			for _, n := range w.big {
-				n.set(func() { n.answers = replicas })
+			for _, n := range c.coordinators {
+				n.update(func() { n.answers = replicas })
 			}
 			_, replies, records, ok := s.send()
-			w.Assert(ok, qt.IsTrue)
-			w.Assert(records, qt.Equals, "", qt.Commentf("%s", name))
+			c.Assert(ok, qt.IsTrue)
+			c.Assert(records, qt.Equals, "", qt.Commentf("%s", name))
 			seen := make(map[int]bool)
 			for _, p := range replies {
-				w.Assert(p.Reply.Reason, qt.Equals, pb.Reason_REASON_PEER, qt.Commentf("%s", name))
+				c.Assert(p.Reply.Reason, qt.Equals, pb.Reason_REASON_PEER, qt.Commentf("%s", name))
 				seen[p.Replica] = true
 			}
-			w.Assert(seen, qt.DeepEquals, map[int]bool{0: true, 1: true}, qt.Commentf("%s", name))
+			c.Assert(seen, qt.DeepEquals, map[int]bool{0: true, 1: true}, qt.Commentf("%s", name))
 		})
 	}
 }
--- a/node/relay/relay.go
+++ b/node/relay/relay.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// maxTries bounds the coordinators that get a request, so that its caller hears soon
-	// where none of them answers.
-	maxTries = 3
-	// defaultPatience stands in for callers that do not say how long they wait.
-	defaultPatience = 30 * time.Second
-	// returnWithin is how long after the last sign of a coordinator requests wait for one
-	// to return: a heartbeat's time, and one that restarts takes 100 ms to read the store.
-	returnWithin = 600 * time.Millisecond
-	// learnWithin is how long after this node began to follow the store requests wait for
-	// a configuration: four calls of 4 ms, and 20 ms of decoding on the smallest VM. What
-	// comes later is refused at once: it would wait in vain, and its caller could be
-	// served elsewhere.
-	learnWithin = 400 * time.Millisecond
-	// localRetryAfter is when a request that waited for that in vain may come back.
+	// maxAttempts bounds the coordinators that a request is sent to, and so its delay when
+	// none of them answers.
+	maxAttempts = 3
+	// defaultCallerTimeout applies to callers that send no timeout.
+	defaultCallerTimeout = 30 * time.Second
+	// coordinatorWait is how long requests wait for a coordinator after the last answered
+	// heartbeat or the start of this node. It covers a heartbeat or the restart of a
+	// coordinator.
+	coordinatorWait = 600 * time.Millisecond
+	// configurationWait bounds the wait for a configuration. A request waits for a first
+	// one until this time after the node began to follow the store, and for a newer one for
+	// this long. Then it is refused, so that its caller can retry on another node.
+	configurationWait = 400 * time.Millisecond
+	// localRetryAfter is the retry delay sent with a request that this node refuses.
 	localRetryAfter = 500 * time.Millisecond
 )
 
@@ -41,7 +41,7 @@
 	Self      coordinator.Member
 	Pool      *peer.Pool
 	Directory Directory
-	// Follow makes this node follow the store by itself, or stop it.
+	// Follow starts or stops following the store.
 	Follow func(on bool)
 	Local  LocalForwarder
 	// Registered reads the registered nodes from the store.
@@ -49,50 +49,53 @@
 	// Leaving reports whether the node is shutting down.
 	Leaving func() bool
 	Log     logrus.FieldLogger
-	// Record is called with each request that went to a coordinator; may be nil.
+	// Record is called with the answer of each request that was not served by Local; may be
+	// nil.
 	Record func(a *forward.Answer, took time.Duration)
 }
 
-// Relay is the sender's side. Safe for concurrent use.
+// Relay sends callers' requests to coordinators. Safe for concurrent use.
 type Relay struct {
-	opts  Options
-	lines telemetry.LineBudget
+	opts      Options
+	logBudget telemetry.LineBudget
 
-	// maxBodyBytes is what a coordinator last said that callers may send; 0 if nothing.
+	// maxBodyBytes is the limit of request bodies that a coordinator reported last; 0 for
+	// none.
 	maxBodyBytes atomic.Int64
 
 	// mu guards the fields below.
 	mu    sync.Mutex
 	table *coordinator.Table
-	// started is when Run began; followSince when this node began to follow the store,
-	// zero while it does not.
-	started, followSince time.Time
-	// version is the newest configuration version that an answer was given by. A
-	// later request must not be answered by an older one.
+	// started is the time at which Run began. followingSince is the time at which this node
+	// began to follow the store; zero while it does not.
+	started, followingSince time.Time
+	// version is the newest configuration version of an answer. A later request must not be
+	// answered with an older one.
 	version uint64
-	// delay is that of coordinators' answers on their way.
-	delay gather.DeliveryDelay
-	// inFlight holds the requests that wait at a coordinator, by its name.
-	inFlight map[string]map[*call]bool
+	// deliveryDelay estimates how long coordinators' answers are in transit.
+	deliveryDelay gather.DeliveryDelay
+	// inFlight holds the requests in flight by coordinator name.
+	inFlight map[string]map[*relayedCall]bool
 }
 
-// New returns a relay that knows no coordinator yet.
+// New returns a relay without coordinators.
 func New(o Options) *Relay {
 	return &Relay{
 		opts:     o,
 		table:    coordinator.NewTable(o.Self),
-		inFlight: make(map[string]map[*call]bool),
+		inFlight: make(map[string]map[*relayedCall]bool),
 	}
 }
 
-// Serve answers one request, through a coordinator if one is in reach and better than
-// this node. It returns when the answer is known; ctx ends when the caller has gone.
+// Serve answers one request through a coordinator. It answers locally when no coordinator
+// accepts the request, or when the coordinator's configuration is stale and this node's is
+// not. ctx ends when the caller disconnects.
 func (r *Relay) Serve(ctx context.Context, req *forward.Request) forward.Answer {
 	tried := make(map[string]bool)
-	for range maxTries {
-		to, condition, ok := r.await(ctx, tried)
-		if !ok || condition.Stale && r.current() {
-			return r.local(ctx, req)
+	for range maxAttempts {
+		to, condition, ok := r.awaitCoordinator(ctx, tried)
+		if !ok || condition.Stale && r.isCurrent() {
+			return r.serveLocally(ctx, req)
 		}
 		tried[to.Node] = true
 		answer, done := r.send(ctx, to, req)
@@ -101,7 +104,7 @@
 			return answer
 		}
 	}
-	return r.local(ctx, req)
+	return r.serveLocally(ctx, req)
 }
 
 func (r *Relay) record(a *forward.Answer, req *forward.Request) {
@@ -110,182 +113,185 @@
 	}
 }
 
-// MaxBodyBytes is the largest body that callers may send, as coordinators say; 0 if they
-// have said nothing.
+// MaxBodyBytes returns the limit of request bodies that a coordinator reported last; 0 for
+// none.
 func (r *Relay) MaxBodyBytes() int64 { return r.maxBodyBytes.Load() }
 
-// await returns a coordinator for a request. When there is none, it waits a moment for
-// one, unless this node can answer by itself: after a restart of the whole fleet, each node
-// that does not wait reads the store.
-func (r *Relay) await(ctx context.Context, tried map[string]bool) (coordinator.Member, coordinator.Condition, bool) {
+// awaitCoordinator returns a coordinator for a request. It waits for one while one may
+// return, unless this node has a configuration. Without the wait, a restart of the whole
+// fleet makes every node read the store.
+func (r *Relay) awaitCoordinator(ctx context.Context, tried map[string]bool) (coordinator.Member, coordinator.Condition, bool) {
 	for {
-		to, condition, ok := r.pick(tried)
-		if ok || len(tried) > 0 || r.knows() || !r.mayReturn() || ctx.Err() != nil {
+		to, condition, ok := r.pickCoordinator(tried)
+		if ok || len(tried) > 0 || r.hasConfiguration() || !r.coordinatorMayReturn() || ctx.Err() != nil {
 			return to, condition, ok
 		}
-		work.Sleep(ctx, lookEvery)
+		work.Sleep(ctx, pollInterval)
 	}
 }
 
-// knows reports whether this node knows a configuration by itself.
-func (r *Relay) knows() bool { return r.opts.Directory.View() != nil }
+// hasConfiguration reports whether this node has a configuration itself.
+func (r *Relay) hasConfiguration() bool { return r.opts.Directory.View() != nil }
 
-// mayReturn reports whether a coordinator is worth waiting for: there are some, and one
-// was heard of, or this node was started, a short while ago.
-func (r *Relay) mayReturn() bool {
+// coordinatorMayReturn reports whether to wait for a coordinator: the fleet has some, and
+// the last answered heartbeat or the start of this node is less than coordinatorWait ago.
+func (r *Relay) coordinatorMayReturn() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last := r.table.LastHeartbeat()
 	if last.Before(r.started) {
 		last = r.started
 	}
-	return !r.table.Empty() && time.Since(last) < returnWithin
+	return !r.table.Empty() && time.Since(last) < coordinatorWait
 }
 
-// follow makes this node follow the store by itself, or stop it.
-func (r *Relay) follow(on bool) {
+// setFollowing starts or stops following the store.
+func (r *Relay) setFollowing(on bool) {
 	r.mu.Lock()
-	if on && r.followSince.IsZero() {
-		r.followSince = time.Now()
+	if on && r.followingSince.IsZero() {
+		r.followingSince = time.Now()
 	}
 	if !on {
-		r.followSince = time.Time{}
+		r.followingSince = time.Time{}
 	}
 	r.mu.Unlock()
 	r.opts.Follow(on)
 }
 
-// mayLearn reports whether a configuration is worth waiting for.
-func (r *Relay) mayLearn() bool {
+// configurationMayArrive reports whether to wait for a first configuration.
+func (r *Relay) configurationMayArrive() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Since(r.followSince) < learnWithin
+	return time.Since(r.followingSince) < configurationWait
 }
 
-// current reports whether this node follows the store by itself and has new news.
-func (r *Relay) current() bool { return r.knows() && !r.opts.Directory.Stale() }
+// isCurrent reports whether this node has a configuration that is not stale.
+func (r *Relay) isCurrent() bool { return r.hasConfiguration() && !r.opts.Directory.Stale() }
 
-func (r *Relay) pick(tried map[string]bool) (coordinator.Member, coordinator.Condition, bool) {
+func (r *Relay) pickCoordinator(tried map[string]bool) (coordinator.Member, coordinator.Condition, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.Pick(time.Now(), tried)
 }
 
-// send sends a request to a coordinator. done is false when another one should get it:
-// this one has not run it then, and will not.
+// send sends a request to a coordinator. done is false when another coordinator is to be
+// tried: the coordinator has not run the request then, and does not run it later.
 func (r *Relay) send(ctx context.Context, to coordinator.Member, req *forward.Request) (answer forward.Answer, done bool) {
-	began := time.Now()
+	start := time.Now()
 	result, err := r.exchange(ctx, to, req)
 	switch {
 	case err == nil && result.answer != nil:
-		r.learn(result.answer.Version)
-		r.observeDelay(result.answer, req)
+		r.recordVersion(result.answer.Version)
+		r.recordDelivery(result.answer, req)
 		return *result.answer, true
 	case ctx.Err() != nil:
 		return forward.Answer{Outcome: forward.Late}, true
 	case err == nil && result.refusal == pb.RelayRefusal_RELAY_REFUSAL_BEHIND:
-		// It will know in a moment; others may know already.
+		// The coordinator does not have the required configuration version yet. Another
+		// coordinator may have it.
 	case err == nil && result.refusal == pb.RelayRefusal_RELAY_REFUSAL_ISOLATED:
-		// This node's data centre is cut off, most likely: whoever comes back to
-		// another node is served sooner than this one could find out.
+		// The data centre is most likely isolated. A caller that retries on another node is
+		// served sooner than by trying the other coordinators.
 		return r.refuse(req), true
 	default:
-		r.failed(to, err, result.refusal)
+		r.markFailed(to, err, result.refusal)
 	}
-	if result.begun && result.refusal == 0 {
-		// Its replicas may have been asked, hedges included; another coordinator's
-		// would be more than the route allows. The caller may ask anew.
+	if result.started && result.refusal == 0 {
+		// The coordinator may have sent attempts and hedges. With those of another
+		// coordinator, the request would exceed the attempts that its route allows. The
+		// caller may retry.
 		r.logLost(to, req)
 		return forward.Answer{Outcome: forward.Failed}, true
 	}
-	if r.lines.Take(time.Now(), true) {
+	if r.logBudget.Take(time.Now(), true) {
 		r.opts.Log.WithFields(logrus.Fields{
 			"request": req.ID, "coordinator": to.Node, "refusal": result.refusal.String(),
-			"took_ms": time.Since(began).Milliseconds(), logrus.ErrorKey: err,
-		}).Info("a coordinator did not take the request: another one gets it")
+			"took_ms": time.Since(start).Milliseconds(), logrus.ErrorKey: err,
+		}).Info("coordinator did not accept the request, retrying elsewhere")
 	}
 	return forward.Answer{}, false
 }
 
-// logLost writes that a request was lost with its coordinator.
+// logLost logs that a request was lost with its coordinator.
 func (r *Relay) logLost(to coordinator.Member, req *forward.Request) {
-	if r.lines.Take(time.Now(), true) {
+	if r.logBudget.Take(time.Now(), true) {
 		r.opts.Log.WithFields(logrus.Fields{
 			"request": req.ID, "coordinator": to.Node, "outcome": forward.Failed.String(),
 			"took_ms": time.Since(req.Arrived).Milliseconds(),
-		}).Info("a coordinator was lost with the request")
+		}).Info("coordinator was lost after it began the request")
 	}
 }
 
-func patienceOf(req *forward.Request) time.Duration {
+func callerTimeout(req *forward.Request) time.Duration {
 	if req.CallerTimeout > 0 {
 		return req.CallerTimeout
 	}
-	return defaultPatience
+	return defaultCallerTimeout
 }
 
-// reserve is what of a request's objective is needed outside of the coordinator.
-func (r *Relay) reserve(req *forward.Request) time.Duration {
+// transitReserve returns the part of the request's objective that is spent outside the
+// coordinator.
+func (r *Relay) transitReserve(req *forward.Request) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return req.TransitReserve + r.delay.Estimate()
+	return req.TransitReserve + r.deliveryDelay.Estimate()
 }
 
-// observeDelay takes how long a coordinator's answer was on its way.
-func (r *Relay) observeDelay(a *forward.Answer, req *forward.Request) {
+// recordDelivery records how long a coordinator's answer was in transit.
+func (r *Relay) recordDelivery(a *forward.Answer, req *forward.Request) {
 	if a.Due == 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.delay.Observe(time.Since(req.Arrived) - a.Due)
+	r.deliveryDelay.Observe(time.Since(req.Arrived) - a.Due)
 }
 
-func (r *Relay) offered(node string, after time.Duration) {
+func (r *Relay) recordOffer(node string, after time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.RecordOffer(node, after)
 }
 
-func (r *Relay) leastVersion() uint64 {
+func (r *Relay) minVersion() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.version
 }
 
-func (r *Relay) learn(version uint64) {
+func (r *Relay) recordVersion(version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version = max(r.version, version)
 }
 
-// local answers a request from this node, which learns a configuration first if it
-// knows none, or an older one than it has answered by.
-func (r *Relay) local(ctx context.Context, req *forward.Request) forward.Answer {
-	r.follow(true)
-	least := r.leastVersion()
-	for behindSince := time.Now(); ; work.Sleep(ctx, lookEvery) {
+// serveLocally answers a request from this node. It first waits for a configuration that is
+// at least as new as that of any earlier answer.
+func (r *Relay) serveLocally(ctx context.Context, req *forward.Request) forward.Answer {
+	r.setFollowing(true)
+	minVersion := r.minVersion()
+	for waitingSince := time.Now(); ; work.Sleep(ctx, pollInterval) {
 		v := r.opts.Directory.View()
 		switch {
-		case v != nil && v.Index.Version >= least:
+		case v != nil && v.Index.Version >= minVersion:
 			answer := r.opts.Local.Serve(ctx, req)
-			r.learn(answer.Version)
+			r.recordVersion(answer.Version)
 			return answer
 		case ctx.Err() != nil:
 			return forward.Answer{Outcome: forward.Late}
-		case v == nil && !r.mayLearn(), time.Since(behindSince) > learnWithin:
+		case v == nil && !r.configurationMayArrive(), time.Since(waitingSince) > configurationWait:
 			return r.refuse(req)
 		}
 	}
 }
 
-// refuse answers a request that nobody has run.
+// refuse answers a request that no node has run.
 func (r *Relay) refuse(req *forward.Request) forward.Answer {
-	if r.lines.Take(time.Now(), true) {
+	if r.logBudget.Take(time.Now(), true) {
 		r.opts.Log.WithFields(logrus.Fields{
 			"request": req.ID, "outcome": forward.NotRun.String(), "retry_after_ms": localRetryAfter.Milliseconds(),
 			"took_ms": time.Since(req.Arrived).Milliseconds(),
-		}).Info("no coordinator takes the request, and this node cannot answer it")
+		}).Info("no coordinator accepts the request and this node cannot answer it")
 	}
 	return forward.Answer{Outcome: forward.NotRun, RetryAfter: localRetryAfter}
 }
--- a/node/relay/server.go
+++ b/node/relay/server.go
@@ -19,71 +19,71 @@
 )
 
 const (
-	// catchUp is how long a coordinator waits for a configuration that the sender has
-	// seen already, which is part of the sender's wait for its offer. A call to the
-	// store takes 4 ms.
-	catchUp = 50 * time.Millisecond
-	// lookEvery is how often it looks whether something has changed.
-	lookEvery = 10 * time.Millisecond
-	// newsEvery is how often is looked whether waiting heartbeats have news to hear. A
-	// coordinator that leaves goes on serving for seconds.
-	newsEvery = 100 * time.Millisecond
-	// maxWait bounds how long a heartbeat waits for news.
-	maxWait = 5 * time.Second
+	// catchUpTimeout is how long a coordinator waits for the configuration version that the
+	// sender requires. The sender's offerTimeout includes this wait.
+	catchUpTimeout = 50 * time.Millisecond
+	// pollInterval is the time between two checks while a request waits for a configuration
+	// or a coordinator.
+	pollInterval = 10 * time.Millisecond
+	// statePollInterval is the time between two checks for a state change that waiting
+	// heartbeats report. A coordinator that shuts down serves for longer than that.
+	statePollInterval = 100 * time.Millisecond
+	// maxHeartbeatWait bounds how long a heartbeat waits for a state change.
+	maxHeartbeatWait = 5 * time.Second
 )
 
-// Directory knows what the store holds.
+// Directory provides this node's view of the store.
 type Directory interface {
 	View() *directory.View
 	Fleet() coordinator.Fleet
-	// Synced reports whether the store was read; there may be no configuration in it.
+	// Synced reports whether the store was read. It may hold no configuration.
 	Synced() bool
-	// PollNow asks for updates at once.
+	// PollNow polls the store without waiting for the next interval.
 	PollNow()
-	// MarkReliedOn notes that another node relies on this one.
+	// MarkReliedOn records that another node depends on this node's view.
 	MarkReliedOn()
-	// Stale reports whether the store has not answered for a while.
+	// Stale reports whether the store has not answered for some time.
 	Stale() bool
 }
 
-// LocalForwarder answers requests by asking the shards from this node.
+// LocalForwarder answers requests by sending them from this node to the shards.
 type LocalForwarder interface {
 	Serve(ctx context.Context, req *forward.Request) forward.Answer
-	// Isolated reports whether no other data centre is in reach.
+	// Isolated reports whether no other data centre is reachable.
 	Isolated() bool
-	// ServeBatch sends the attempts of a batch for another node.
+	// ServeBatch sends the attempts of another node's batch.
 	ServeBatch(ctx context.Context, b *forward.Batch, deliver func(forward.PartReplies) error) error
 }
 
-// ServerOptions of a Server.
+// ServerOptions are the options of a Server.
 type ServerOptions struct {
 	Directory Directory
 	Local     LocalForwarder
-	// Leaving reports whether the node is shutting down: it takes requests that still
-	// come, and tells senders to use others.
+	// Leaving reports whether the node is shutting down. It still accepts requests, but
+	// reports itself as unavailable to senders.
 	Leaving func() bool
 }
 
-// Server is the coordinator's side.
+// Server accepts requests and batches from other nodes.
 type Server struct {
 	peerv1.UnimplementedCoordinatorServer
-	opts ServerOptions
-	news *news
+	opts     ServerOptions
+	notifier *stateNotifier
 }
 
-// NewServer returns a grpc server of the coordinator's side; nil credentials mean plain
+// NewServer returns a gRPC server with a Server registered. With nil creds it uses plain
 // TCP.
 func NewServer(o ServerOptions, creds credentials.TransportCredentials) *grpc.Server {
 	server := grpc.NewServer(peer.ServerOptions(creds)...)
 	s := &Server{opts: o}
-	s.news = &news{look: s.state}
+	s.notifier = &stateNotifier{read: s.currentState}
 	peerv1.RegisterCoordinatorServer(server, s)
 	return server
 }
 
-// Relay implements peerv1.CoordinatorServer. It begins only when the sender says so after
-// its offer: a process that was paused meanwhile would run a request that its sender has
-// given to another coordinator.
+// Relay implements peerv1.CoordinatorServer. It runs the request only after the sender has
+// confirmed the offer. Otherwise a coordinator that was paused could run a request that the
+// sender has already sent to another coordinator.
 func (s *Server) Relay(stream grpc.BidiStreamingServer[pb.RelayMessage, pb.RelayResponse]) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -92,54 +92,55 @@
 	now := time.Now()
 	m := first.GetRequest()
 	if m == nil {
-		return status.Error(codes.InvalidArgument, "the first message holds no request")
+		return status.Error(codes.InvalidArgument, "first message contains no request")
 	}
-	if refusal := s.refuse(stream.Context(), m.GetLeastVersion()); refusal != 0 {
-		return stream.Send(refused(refusal))
+	if refusal := s.refusalReason(stream.Context(), m.GetLeastVersion()); refusal != 0 {
+		return stream.Send(refusalResponse(refusal))
 	}
 	if err := stream.Send(&pb.RelayResponse{Event: &pb.RelayResponse_Offer{Offer: true}}); err != nil {
 		return err
 	}
-	// An error here means that the sender has gone, or given the request to another one.
-	if word, err := stream.Recv(); err != nil || !word.GetBegin() {
+	// An error means that the sender has cancelled the request or sent it to another
+	// coordinator.
+	if message, err := stream.Recv(); err != nil || !message.GetBegin() {
 		return err
 	}
-	answer := s.opts.Local.Serve(stream.Context(), decode(m, now))
+	answer := s.opts.Local.Serve(stream.Context(), decodeRequest(m, now))
 	if answer.Outcome == forward.NotRun && s.opts.Local.Isolated() {
-		return stream.Send(refused(pb.RelayRefusal_RELAY_REFUSAL_ISOLATED))
+		return stream.Send(refusalResponse(pb.RelayRefusal_RELAY_REFUSAL_ISOLATED))
 	}
 	return stream.Send(&pb.RelayResponse{Event: &pb.RelayResponse_Answer{Answer: encodeAnswer(&answer)}})
 }
 
-func refused(why pb.RelayRefusal) *pb.RelayResponse {
-	return &pb.RelayResponse{Event: &pb.RelayResponse_Refusal{Refusal: why}}
+func refusalResponse(reason pb.RelayRefusal) *pb.RelayResponse {
+	return &pb.RelayResponse{Event: &pb.RelayResponse_Refusal{Refusal: reason}}
 }
 
-// refuse returns why a request is not begun with, or 0.
-func (s *Server) refuse(ctx context.Context, leastVersion uint64) pb.RelayRefusal {
-	until := time.Now().Add(catchUp)
+// refusalReason returns why a request is refused before an offer, or 0 if it is not.
+func (s *Server) refusalReason(ctx context.Context, minVersion uint64) pb.RelayRefusal {
+	until := time.Now().Add(catchUpTimeout)
 	for {
 		v := s.opts.Directory.View()
 		switch {
 		case v == nil:
 			return pb.RelayRefusal_RELAY_REFUSAL_NO_CONFIGURATION
-		case v.Index.Version >= leastVersion:
+		case v.Index.Version >= minVersion:
 			return 0
 		case time.Now().After(until) || ctx.Err() != nil || s.opts.Directory.Stale():
 			return pb.RelayRefusal_RELAY_REFUSAL_BEHIND
 		}
 		s.opts.Directory.PollNow()
-		work.Sleep(ctx, lookEvery)
+		work.Sleep(ctx, pollInterval)
 	}
 }
 
-// maxBatch bounds the replicas of a batch.
-const maxBatch = 4096
+// maxBatchReplicas bounds the replicas of a batch.
+const maxBatchReplicas = 4096
 
 // Gather implements peerv1.CoordinatorServer.
 func (s *Server) Gather(m *pb.GatherBatch, stream grpc.ServerStreamingServer[pb.PartReplies]) error {
-	if len(m.GetReplicas()) > maxBatch {
-		return status.Error(codes.InvalidArgument, "the batch holds too many replicas")
+	if len(m.GetReplicas()) > maxBatchReplicas {
+		return status.Error(codes.InvalidArgument, "batch contains too many replicas")
 	}
 	return s.opts.Local.ServeBatch(stream.Context(), decodeBatch(m, time.Now()), func(r forward.PartReplies) error {
 		return stream.Send(encodeReplies(r))
@@ -149,18 +150,18 @@
 // Heartbeat implements peerv1.CoordinatorServer.
 func (s *Server) Heartbeat(ctx context.Context, m *pb.HeartbeatRequest) (*pb.HeartbeatResponse, error) {
 	s.opts.Directory.MarkReliedOn()
-	ctx, cancel := context.WithTimeout(ctx, min(time.Duration(m.GetWaitMs())*time.Millisecond, maxWait))
+	ctx, cancel := context.WithTimeout(ctx, min(time.Duration(m.GetWaitMs())*time.Millisecond, maxHeartbeatWait))
 	defer cancel()
-	now := s.state()
-	if !now.unavailable && now.condition.Configured && now.fleetRevision <= m.GetFleetRevision() {
-		now = s.news.await(ctx, now)
+	current := s.currentState()
+	if !current.unavailable && current.condition.Configured && current.fleetRevision <= m.GetFleetRevision() {
+		current = s.notifier.await(ctx, current)
 	}
 	resp := &pb.HeartbeatResponse{
-		Unavailable:   now.unavailable,
-		Configured:    now.condition.Configured,
-		Stale:         now.condition.Stale,
-		Isolated:      now.condition.Isolated,
-		FleetRevision: now.fleetRevision,
+		Unavailable:   current.unavailable,
+		Configured:    current.condition.Configured,
+		Stale:         current.condition.Stale,
+		Isolated:      current.condition.Isolated,
+		FleetRevision: current.fleetRevision,
 	}
 	if v := s.opts.Directory.View(); v != nil {
 		resp.MaxBodyBytes = uint64(max(v.Index.Limits.MaxBodyBytes, 0))
@@ -172,9 +173,9 @@
 	return resp, nil
 }
 
-// state is what heartbeats tell.
-func (s *Server) state() state {
-	return state{
+// currentState returns the state that heartbeat responses report.
+func (s *Server) currentState() heartbeatState {
+	return heartbeatState{
 		unavailable: s.opts.Leaving() || !s.opts.Directory.Synced(),
 		condition: coordinator.Condition{
 			Configured: s.opts.Directory.View() != nil,
--- a/node/relay/wire.go
+++ b/node/relay/wire.go
@@ -1,7 +1,7 @@
-// Package relay carries callers' requests from forwarding nodes on small VMs to
-// coordinators, which ask the shards. Where a request goes is decided in
-// policy/coordinator; this package carries it there, finds out by heartbeats who takes
-// requests, and answers on the other side.
+// Package relay forwards callers' requests from nodes on small VMs to coordinators, which
+// send them to the shards. policy/coordinator chooses the coordinator. This package
+// exchanges the messages, monitors coordinators by heartbeats, and serves the requests of
+// other nodes.
 package relay
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/carobmill/carobmill/policy/coordinator"
 )
 
-// encode makes the message of a request.
-func encode(req *forward.Request, leastVersion uint64, reserve time.Duration) *pb.RelayMessage {
+// encodeRelayRequest returns the message that offers a request to a coordinator.
+func encodeRelayRequest(req *forward.Request, minVersion uint64, reserve time.Duration) *pb.RelayMessage {
 	m := encodeRequest(req)
-	m.LeastVersion = leastVersion
+	m.LeastVersion = minVersion
 	m.ReserveUs = microseconds(reserve)
 	return &pb.RelayMessage{Event: &pb.RelayMessage_Request{Request: m}}
 }
@@ -36,11 +36,13 @@
 	}
 }
 
-// begin makes the word to begin.
-func begin() *pb.RelayMessage { return &pb.RelayMessage{Event: &pb.RelayMessage_Begin{Begin: true}} }
+// beginMessage returns the message that confirms an offer.
+func beginMessage() *pb.RelayMessage {
+	return &pb.RelayMessage{Event: &pb.RelayMessage_Begin{Begin: true}}
+}
 
-// decode reads the message of a request that arrived now.
-func decode(m *pb.RelayRequest, now time.Time) *forward.Request {
+// decodeRequest decodes a request that arrived now.
+func decodeRequest(m *pb.RelayRequest, now time.Time) *forward.Request {
 	target := string(m.GetTarget())
 	path, _, _ := strings.Cut(target, "?")
 	return &forward.Request{
@@ -57,8 +59,8 @@
 	}
 }
 
-// outcomes pairs the outcomes of the two sides.
-var outcomes = map[forward.Outcome]pb.RelayOutcome{
+// wireOutcomes maps outcomes to their values on the wire.
+var wireOutcomes = map[forward.Outcome]pb.RelayOutcome{
 	forward.Passed:  pb.RelayOutcome_RELAY_OUTCOME_PASSED,
 	forward.Merged:  pb.RelayOutcome_RELAY_OUTCOME_MERGED,
 	forward.NoRoute: pb.RelayOutcome_RELAY_OUTCOME_NO_ROUTE,
@@ -67,9 +69,10 @@
 	forward.Late:    pb.RelayOutcome_RELAY_OUTCOME_LATE,
 }
 
-// outcomeOf reads an outcome; one that is not known may have run.
-func outcomeOf(o pb.RelayOutcome) forward.Outcome {
-	for outcome, wire := range outcomes {
+// decodeOutcome decodes an outcome. An unknown value is a failure, after which the request
+// may have run.
+func decodeOutcome(o pb.RelayOutcome) forward.Outcome {
+	for outcome, wire := range wireOutcomes {
 		if wire == o {
 			return outcome
 		}
@@ -79,7 +82,7 @@
 
 func encodeAnswer(a *forward.Answer) *pb.RelayAnswer {
 	return &pb.RelayAnswer{
-		Outcome:      outcomes[a.Outcome],
+		Outcome:      wireOutcomes[a.Outcome],
 		Status:       uint32(a.Status),
 		Headers:      encodeHeader(a.Header),
 		Body:         a.Body,
@@ -93,7 +96,7 @@
 
 func decodeAnswer(m *pb.RelayAnswer) forward.Answer {
 	return forward.Answer{
-		Outcome:    outcomeOf(m.GetOutcome()),
+		Outcome:    decodeOutcome(m.GetOutcome()),
 		Status:     int(m.GetStatus()),
 		Header:     decodeHeader(m.GetHeaders()),
 		Body:       m.GetBody(),
@@ -157,7 +160,6 @@
 	return f
 }
 
-// encodeBatch makes the message of a batch.
 func encodeBatch(b *forward.Batch) *pb.GatherBatch {
 	return &pb.GatherBatch{
 		Request:    encodeRequest(b.Request),
@@ -167,18 +169,18 @@
 	}
 }
 
-// decodeBatch reads the message of a batch that arrived now.
+// decodeBatch decodes a batch that arrived now.
 func decodeBatch(m *pb.GatherBatch, now time.Time) *forward.Batch {
 	return &forward.Batch{
-		Request:    decode(m.GetRequest(), now),
+		Request:    decodeRequest(m.GetRequest(), now),
 		Replicas:   decodeStrings(m.GetReplicas()),
 		Deadline:   now.Add(duration(m.GetLeftUs())),
-		TopRecords: int(min(m.GetTopRecords(), maxRecords)),
+		TopRecords: int(min(m.GetTopRecords(), maxTopRecords)),
 	}
 }
 
-// maxRecords bounds what is taken from a faulty message.
-const maxRecords = 1 << 16
+// maxTopRecords bounds the number of records that a malformed message can request.
+const maxTopRecords = 1 << 16
 
 func encodeReplies(r forward.PartReplies) *pb.PartReplies {
 	m := &pb.PartReplies{Records: r.Records, Replies: make([]*pb.PartReply, 0, len(r.Replies))}
@@ -216,7 +218,7 @@
 
 func microseconds(d time.Duration) uint64 { return uint64(max(d, 0).Microseconds()) }
 
-// maxMicroseconds keeps times of a faulty message from overflowing.
+// maxMicroseconds bounds durations, so that those of a malformed message do not overflow.
 const maxMicroseconds = uint64(24 * time.Hour / time.Microsecond)
 
 func duration(us uint64) time.Duration {
