--- a/policy/config/config.go
+++ b/policy/config/config.go
@@ -1,6 +1,6 @@
 // Package config indexes an accepted configuration for lookups on the query
-// path. An Index is immutable: a query keeps the one it started with, so that
-// a change of configuration never mixes two partitionings in one answer.
+// path. An Index is immutable. A query uses one Index from start to end, so that
+// a configuration change never mixes two partitionings in one answer.
 package config
 
 import (
@@ -12,16 +12,16 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// Index is one configuration version, ready for lookups. Safe for concurrent
-// use because nothing in it changes after New.
+// Index is one configuration version, prepared for lookups. It is immutable after
+// New and safe for concurrent use.
 type Index struct {
-	// Version rises with each accepted configuration; 0 is none.
+	// Version increases with each accepted configuration. 0 means none.
 	Version uint64
-	// Raw is the message that the index was built from. Read only.
+	// Raw is the message that the index was built from. It must not be modified.
 	Raw         *pb.Configuration
 	Services    map[string]*Service
 	DataCentres map[string]*DataCentre
-	// Replicas holds every replica of every generation by its name.
+	// Replicas maps names to the replicas of all generations.
 	Replicas map[string]*Replica
 }
 
@@ -36,14 +36,14 @@
 type Service struct {
 	Name string
 	Spec *pb.Service
-	// Generations in rising order of FirstSnapshot.
+	// Generations are in ascending order of FirstSnapshot.
 	Generations     []*Generation
 	Classes         map[string]*pb.Class
 	DefaultDeadline time.Duration
 	MaxDeadline     time.Duration
 }
 
-// Generation is one partitioning of a service's index into shards.
+// Generation is one partitioning of a service into shards.
 type Generation struct {
 	ID            uint64
 	FirstSnapshot uint64
@@ -54,29 +54,29 @@
 // Shard is one part of a generation.
 type Shard struct {
 	Name string
-	// Position in Generation.Shards.
+	// Position is the shard's index in Generation.Shards.
 	Position int
 	Replicas []*Replica
 }
 
-// Replica is one backend server's copy of a shard. The same replica may stand
-// in two generations of its service.
+// Replica is one backend server's copy of a shard. Several generations of its
+// service may contain the same replica.
 type Replica struct {
 	Name       string
 	Service    *Service
 	DataCentre string
-	// Address is an IP number and a port.
+	// Address is an IP address and a port.
 	Address string
-	// InService is false when the replica or its data centre is out of service:
-	// it then gets no new work.
+	// InService is false when the replica or its data centre is out of service.
+	// A replica that is out of service receives no new requests.
 	InService bool
 }
 
-// New builds the index of an accepted configuration. Its sheet has passed
-// sheet.Check, so an error here means that the stored value is damaged.
+// New builds the index of an accepted configuration. The sheet has passed
+// sheet.Check before, so an error means that the stored value is corrupt.
 func New(raw *pb.Configuration) (*Index, error) {
 	if raw.GetSheet() == nil {
-		return nil, errors.New("configuration holds no sheet")
+		return nil, errors.New("configuration has no sheet")
 	}
 	x := &Index{
 		Version:     raw.GetVersion(),
@@ -100,7 +100,7 @@
 	return x, nil
 }
 
-// ReplicaNames returns the names of all replicas in rising order.
+// ReplicaNames returns the names of all replicas in ascending order.
 func (x *Index) ReplicaNames() []string {
 	names := make([]string, 0, len(x.Replicas))
 	for name := range x.Replicas {
@@ -160,11 +160,11 @@
 }
 
 func (x *Index) replica(svc *Service, spec *pb.Replica) (*Replica, error) {
-	if known := x.Replicas[spec.GetName()]; known != nil {
-		if known.Address != spec.GetAddress() || known.Service != svc {
-			return nil, errors.Errorf("replica %s is defined twice", spec.GetName())
+	if existing := x.Replicas[spec.GetName()]; existing != nil {
+		if existing.Address != spec.GetAddress() || existing.Service != svc {
+			return nil, errors.Errorf("replica %s has conflicting definitions", spec.GetName())
 		}
-		return known, nil
+		return existing, nil
 	}
 	dc := x.DataCentres[spec.GetDataCentre()]
 	if dc == nil {
@@ -197,7 +197,7 @@
 	return s.Generations[len(s.Generations)-1]
 }
 
-// Shard returns the shard of that name, or nil.
+// Shard returns the shard with the given name, or nil.
 func (g *Generation) Shard(name string) *Shard {
 	return g.byName[name]
 }
--- a/policy/config/config_test.go
+++ b/policy/config/config_test.go
@@ -65,7 +65,7 @@
 	raw := repartitioned()
 	raw.Sheet.Services[0].Generations[1].Shards[0].Replicas[0].Address = "127.0.0.1:9"
 	_, err := config.New(raw)
-	c.Assert(err, qt.ErrorMatches, "replica r0 is defined twice")
+	c.Assert(err, qt.ErrorMatches, "replica r0 has conflicting definitions")
 	_, err = config.New(&pb.Configuration{})
-	c.Assert(err, qt.ErrorMatches, "configuration holds no sheet")
+	c.Assert(err, qt.ErrorMatches, "configuration has no sheet")
 }
