--- a/policy/configstate/configstate.go
+++ b/policy/configstate/configstate.go
@@ -1,6 +1,6 @@
-// Package configstate decides which configuration version a node has in force,
-// which nodes watch the platform's key, and from whom the others pull. A version
-// in force only rises, whatever is read from where.
+// Package configstate selects the configuration version that is in force at a
+// node, the nodes that watch the platform's key, and the peers that the other
+// nodes pull from. The version in force never decreases.
 package configstate
 
 import (
@@ -17,15 +17,16 @@
 	return "carobmill/" + fleet + "/configuration"
 }
 
-// Outcome is what Offer made of a configuration.
+// Outcome is the result of Offer.
 type Outcome int
 
 const (
-	// Stale is not higher than the version in force. Stale reads end here.
+	// Stale means that the version is not higher than the one in force.
 	Stale Outcome = iota
-	// Invalid means that it cannot be indexed, or it belongs to another fleet.
+	// Invalid means that the configuration cannot be indexed or belongs to
+	// another fleet.
 	Invalid
-	// Accepted is in force now.
+	// Accepted means that the configuration is now in force.
 	Accepted
 )
 
@@ -41,12 +42,12 @@
 	return &State{fleet: fleet}
 }
 
-// Index is the configuration in force, nil when there is none.
+// Index returns the configuration in force, or nil.
 func (s *State) Index() *config.Index {
 	return s.index
 }
 
-// Version is the version in force, 0 when there is none.
+// Version returns the version in force, or 0 without a configuration.
 func (s *State) Version() uint64 {
 	if s.index == nil {
 		return 0
@@ -54,12 +55,11 @@
 	return s.index.Version
 }
 
-// Offer puts a configuration in force if its version is higher. The error says
-// why a configuration is Damaged.
+// Offer puts a configuration in force if its version is higher than the current
+// one. The error is set only when the outcome is Invalid.
 //
-// The comparison is the only guard that is needed against reads from the past:
-// versions are given out by compare-and-swap, so a higher one is newer wherever
-// it comes from.
+// Comparing versions is sufficient against stale reads. Versions are assigned by
+// compare-and-swap, so a higher version is newer whichever source it is read from.
 func (s *State) Offer(raw *pb.Configuration) (Outcome, error) {
 	if raw.GetVersion() <= s.Version() {
 		return Stale, nil
@@ -80,14 +80,15 @@
 	Fleet string
 }
 
-// Error names the other fleet.
+// Error returns a message with the name of the other fleet.
 func (e *FleetMismatchError) Error() string {
 	return "configuration belongs to fleet " + e.Fleet
 }
 
-// IsWatcher reports whether self is among the nodes of its data centre that watch
-// the platform's key. Each node decides alone from its own members; when views
-// differ one more or one less watches for a while, which does no harm.
+// IsWatcher reports whether self is one of the nodes of its data centre that watch
+// the platform's key. Each node computes this from its own member table. While
+// tables differ, the number of watchers may temporarily differ from watchers, which
+// is harmless.
 func IsWatcher(self string, dataCentre string, usable []string, watchers int) bool {
 	ranked := ownership.Rank("watch/"+dataCentre, usable)
 	if len(ranked) > watchers {
@@ -101,27 +102,27 @@
 	return false
 }
 
-// PeerVersion is the version that one peer said it has in force, 0 for none.
+// PeerVersion is the version that a peer reports as in force, 0 for none.
 type PeerVersion struct {
 	Peer    string
 	Version uint64
 }
 
-// witnesses is how many peers must hold a version at least as high before a
-// node without the platform starts on it.
-const witnesses = 2
+// startQuorum is the number of peers that must have reached a version before a
+// node that cannot reach the platform starts with it.
+const startQuorum = 2
 
-// StartVersion is the version that a node which cannot reach the platform starts
-// on, and the peers to pull it from: the highest version that at least two peers
-// have reached, or all peers when fewer are known. It returns 0 while too few
-// have answered.
+// StartVersion returns the version that a node starts with when it cannot reach
+// the platform, and the peers to pull that version from. It is the highest version
+// that at least startQuorum peers have reached, or all peers when fewer than that
+// exist. The result is 0 while too few peers have answered.
 //
-// A version, once accepted, is superseded but never taken back, so a peer on a
-// higher one has passed through the lower one. Asking two peers keeps a node
-// from starting on what a single peer held that has been cut off for hours.
-func StartVersion(answers []PeerVersion, known int) (uint64, []string) {
-	need := min(witnesses, known)
-	if need == 0 || len(answers) < need {
+// An accepted version is superseded but never withdrawn, so a peer with a higher
+// version counts for the lower one too. Without the quorum, a node could start with
+// the outdated version of a single peer that has been partitioned for a long time.
+func StartVersion(answers []PeerVersion, peerCount int) (uint64, []string) {
+	quorum := min(startQuorum, peerCount)
+	if quorum == 0 || len(answers) < quorum {
 		return 0, nil
 	}
 	sorted := append([]PeerVersion(nil), answers...)
@@ -131,28 +132,29 @@
 		}
 		return sorted[i].Peer < sorted[j].Peer
 	})
-	version := sorted[need-1].Version
+	version := sorted[quorum-1].Version
 	if version == 0 {
 		return 0, nil
 	}
 	return version, Sources(sorted, version)
 }
 
-// Highest returns the highest version among the answers, 0 for none.
+// Highest returns the highest version among the answers, or 0 without answers.
 func Highest(answers []PeerVersion) uint64 {
 	var highest uint64
-	for _, h := range answers {
-		highest = max(highest, h.Version)
+	for _, a := range answers {
+		highest = max(highest, a.Version)
 	}
 	return highest
 }
 
-// Sources returns the peers that hold at least a version, highest first.
-func Sources(held []PeerVersion, version uint64) []string {
+// Sources returns the peers with the given version or a higher one, in the order
+// of answers.
+func Sources(answers []PeerVersion, version uint64) []string {
 	var peers []string
-	for _, h := range held {
-		if h.Version >= version {
-			peers = append(peers, h.Peer)
+	for _, a := range answers {
+		if a.Version >= version {
+			peers = append(peers, a.Peer)
 		}
 	}
 	return peers
--- a/policy/configstate/configstate_test.go
+++ b/policy/configstate/configstate_test.go
@@ -23,70 +23,70 @@
 	}
 }
 
-// broken is a variant of the policy that the check has to catch.
-type broken struct {
-	// takesAny puts any version in force, as if the comparison were missing.
-	takesAny bool
-	// startsOnOldest has a starting node take the lowest answer.
+// brokenVariant selects a fault in the policy that the model must detect.
+type brokenVariant struct {
+	// acceptsAnyVersion skips the comparison of versions.
+	acceptsAnyVersion bool
+	// startsOnOldest makes a starting node use the oldest configuration.
 	startsOnOldest bool
-	// blindWrite has an operator write without comparing.
-	blindWrite bool
+	// unconditionalWrite makes an operator write without compare-and-swap.
+	unconditionalWrite bool
 }
 
-// acceptance is a platform's key, operators who race to change it, and nodes
-// that read it, pull from each other, restart and read from the past.
-type acceptance struct {
-	broken
-	// accepted is the oracle: every configuration ever accepted, by version.
+// versionModel consists of a platform key, operators that write it concurrently,
+// and nodes that read it, possibly stale, pull from each other and restart.
+type versionModel struct {
+	brokenVariant
+	// accepted is the oracle: all accepted configurations, in order of version.
 	accepted []*pb.Configuration
 	drafts   []*pb.Configuration
-	nodes    []*acceptNode
+	nodes    []*modelNode
 }
 
-type acceptNode struct {
+type modelNode struct {
 	state *State
-	// highest version ever in force here since the last restart.
+	// highest is the highest version in force since the last restart.
 	highest uint64
 }
 
-// value returns what a read of the key gives: the newest value, or an older one
-// when the platform answers from the past.
-func (a *acceptance) value(behind int) *pb.Configuration {
+// value returns the value of the key that a read returns. A stale read is behind
+// by that many versions.
+func (a *versionModel) value(behind int) *pb.Configuration {
 	return a.accepted[max(0, len(a.accepted)-1-behind)]
 }
 
-// draft has an operator read the key, perhaps from the past, and write a change.
-func (a *acceptance) draft(t *rapid.T) {
+// draft makes an operator read the key, possibly stale, and prepare a change.
+func (a *versionModel) draft(t *rapid.T) {
 	behind := rapid.SampledFrom([]int{0, 0, 0, 1, 3}).Draw(t, "behind")
 	version := a.value(behind).GetVersion() + 1
 	a.drafts = append(a.drafts, configuration(version, fmt.Sprint("publish-", version, "-", len(a.drafts))))
 }
 
-// write carries out a draft, once or again after a lost answer. The platform
-// compares the version that the draft replaces with the one it holds.
-func (a *acceptance) write(t *rapid.T) {
+// write writes a draft, possibly again after a lost response. The platform accepts
+// it only if the draft replaces the current version.
+func (a *versionModel) write(t *rapid.T) {
 	if len(a.drafts) == 0 {
 		return
 	}
-	d := a.drafts[rapid.IntRange(0, len(a.drafts)-1).Draw(t, "draft")]
-	if a.blindWrite || a.value(0).GetVersion() == d.GetVersion()-1 {
-		a.accepted = append(a.accepted, d)
+	draft := a.drafts[rapid.IntRange(0, len(a.drafts)-1).Draw(t, "draft")]
+	if a.unconditionalWrite || a.value(0).GetVersion() == draft.GetVersion()-1 {
+		a.accepted = append(a.accepted, draft)
 	}
 }
 
-func (a *acceptance) offer(n *acceptNode, c *pb.Configuration) {
+func (a *versionModel) offer(n *modelNode, c *pb.Configuration) {
 	if c == nil {
 		return
 	}
-	if a.takesAny && c.GetVersion() > 0 {
+	if a.acceptsAnyVersion && c.GetVersion() > 0 {
 		n.state = New("f")
 	}
 	_, _ = n.state.Offer(c)
 }
 
-// start is what a node with nothing does without the platform: it asks some
-// peers and takes what several hold.
-func (a *acceptance) start(t *rapid.T, n *acceptNode) {
+// start selects the first configuration of a node that cannot reach the platform,
+// from the answers of some peers.
+func (a *versionModel) start(t *rapid.T, n *modelNode) {
 	var answers []PeerVersion
 	for i, peer := range a.nodes {
 		if peer != n && rapid.Bool().Draw(t, "answers") {
@@ -107,8 +107,9 @@
 			atLeast++
 		}
 	}
-	if atLeast < min(witnesses, len(a.nodes)-1) {
-		t.Fatalf("StartsOnlyOnWhatSeveralHold: version %d, which %d of %d hold", version, atLeast, len(answers))
+	if atLeast < min(startQuorum, len(a.nodes)-1) {
+		t.Fatalf("StartsOnlyOnWhatSeveralHold: start with version %d, which only %d of %d peers have reached",
+			version, atLeast, len(answers))
 	}
 	for _, source := range sources {
 		var i int
@@ -117,34 +118,35 @@
 	}
 }
 
-// check holds what must always be true.
-func (a *acceptance) check(t *rapid.T) {
+// check verifies the invariants.
+func (a *versionModel) check(t *rapid.T) {
 	ids := make(map[uint64]string)
 	for _, c := range a.accepted {
 		if id, ok := ids[c.GetVersion()]; ok && id != c.GetPublishId() {
-			t.Fatalf("OneConfigurationAVersion: version %d is %s and %s", c.GetVersion(), id, c.GetPublishId())
+			t.Fatalf("OneConfigurationAVersion: version %d is both %s and %s", c.GetVersion(), id, c.GetPublishId())
 		}
 		ids[c.GetVersion()] = c.GetPublishId()
 	}
 	for i, n := range a.nodes {
 		version := n.state.Version()
 		if version < n.highest {
-			t.Fatalf("AcceptedConfigurationNeverReverts: node %d went from version %d to %d", i, n.highest, version)
+			t.Fatalf("AcceptedConfigurationNeverReverts: node %d changed from version %d to %d", i, n.highest, version)
 		}
 		n.highest = version
 		if version != 0 && ids[version] != n.state.Index().Raw.GetPublishId() {
-			t.Fatalf("OnlyAcceptedIsInForce: node %d has %s in force", i, n.state.Index().Raw.GetPublishId())
+			t.Fatalf("OnlyAcceptedIsInForce: node %d has %s in force, which the platform did not accept",
+				i, n.state.Index().Raw.GetPublishId())
 		}
 	}
 }
 
-func acceptanceLife(v broken) func(*rapid.T) {
+func versionProperty(v brokenVariant) func(*rapid.T) {
 	return func(t *rapid.T) {
-		a := &acceptance{broken: v, accepted: []*pb.Configuration{configuration(1, "first")}}
+		a := &versionModel{brokenVariant: v, accepted: []*pb.Configuration{configuration(1, "first")}}
 		for range rapid.IntRange(2, 5).Draw(t, "nodes") {
-			a.nodes = append(a.nodes, &acceptNode{state: New("f")})
+			a.nodes = append(a.nodes, &modelNode{state: New("f")})
 		}
-		node := func(t *rapid.T) *acceptNode {
+		node := func(t *rapid.T) *modelNode {
 			return a.nodes[rapid.IntRange(0, len(a.nodes)-1).Draw(t, "node")]
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -169,30 +171,28 @@
 	}
 }
 
-// Operators race, answers are lost and drafts written again, reads come from the
-// past, nodes restart with nothing and ask their peers. Whatever the order, a
-// node in force never goes back, and only accepted versions are in force. A long
-// run with a fresh seed:
+// Guards against a node that reverts to an older configuration or applies one that
+// the platform did not accept, under concurrent writes, lost responses, stale reads
+// and restarts. Longer run with a new seed:
 //
 //	go test ./policy/configstate -run NeverDecreases -rapid.checks=500000 -rapid.seed=$RANDOM
 func TestConfigurationVersionNeverDecreases(t *testing.T) {
-	rapid.Check(t, acceptanceLife(broken{}))
+	rapid.Check(t, versionProperty(brokenVariant{}))
 }
 
-// The seed is the one of modeltest.
 func TestVersionCheckCatchesBrokenVariants(t *testing.T) {
-	for name, v := range map[string]broken{
-		"no comparison of versions": {takesAny: true},
-		"start on the oldest":       {startsOnOldest: true},
-		"write without comparing":   {blindWrite: true},
+	for name, v := range map[string]brokenVariant{
+		"version is not compared":   {acceptsAnyVersion: true},
+		"start with the oldest":     {startsOnOldest: true},
+		"write is unconditional":    {unconditionalWrite: true},
 	} {
-		t.Run(name, func(t *testing.T) { modeltest.Caught(t, "", acceptanceLife(v)) })
+		t.Run(name, func(t *testing.T) { modeltest.Caught(t, "", versionProperty(v)) })
 	}
 }
 
 func TestStartVersion(t *testing.T) {
 	c := qt.New(t)
-	held := func(versions ...uint64) []PeerVersion {
+	peersAt := func(versions ...uint64) []PeerVersion {
 		var list []PeerVersion
 		for i, v := range versions {
 			list = append(list, PeerVersion{Peer: fmt.Sprint("p", i), Version: v})
@@ -200,20 +200,20 @@
 		return list
 	}
 	for _, tc := range []struct {
-		answers []PeerVersion
-		known   int
-		want    uint64
+		answers   []PeerVersion
+		peerCount int
+		want      uint64
 	}{
 		{nil, 0, 0},
-		{held(7), 3, 0},
-		{held(7), 1, 7},
-		{held(7, 5, 4), 3, 5},
-		{held(7, 7, 9), 3, 7},
-		{held(0, 7), 2, 0},
-		{held(0, 0), 2, 0},
+		{peersAt(7), 3, 0},
+		{peersAt(7), 1, 7},
+		{peersAt(7, 5, 4), 3, 5},
+		{peersAt(7, 7, 9), 3, 7},
+		{peersAt(0, 7), 2, 0},
+		{peersAt(0, 0), 2, 0},
 	} {
-		version, sources := StartVersion(tc.answers, tc.known)
-		c.Check(version, qt.Equals, tc.want, qt.Commentf("%v of %d", tc.answers, tc.known))
+		version, sources := StartVersion(tc.answers, tc.peerCount)
+		c.Check(version, qt.Equals, tc.want, qt.Commentf("answers %v of %d peers", tc.answers, tc.peerCount))
 		c.Check(len(sources) > 0, qt.Equals, tc.want > 0)
 	}
 }
@@ -235,9 +235,9 @@
 
 func TestConfigurationOfAnotherFleetIsRejected(t *testing.T) {
 	c := qt.New(t)
-	foreign := configuration(9, "x")
-	foreign.Sheet.Fleet = "other"
-	verdict, err := New("f").Offer(foreign)
-	c.Assert(verdict, qt.Equals, Invalid)
+	config := configuration(9, "x")
+	config.Sheet.Fleet = "other"
+	outcome, err := New("f").Offer(config)
+	c.Assert(outcome, qt.Equals, Invalid)
 	c.Assert(err, qt.ErrorMatches, "configuration belongs to fleet other")
 }
