--- a/policy/configstate/configstate_test.go
+++ b/policy/configstate/configstate_test.go
@@ -182,9 +182,9 @@
 
 func TestVersionCheckCatchesBrokenVariants(t *testing.T) {
 	for name, v := range map[string]brokenVariant{
-		"version is not compared":   {acceptsAnyVersion: true},
-		"start with the oldest":     {startsOnOldest: true},
-		"write is unconditional":    {unconditionalWrite: true},
+		"version is not compared": {acceptsAnyVersion: true},
+		"start with the oldest":   {startsOnOldest: true},
+		"write is unconditional":  {unconditionalWrite: true},
 	} {
 		t.Run(name, func(t *testing.T) { modeltest.Caught(t, "", versionProperty(v)) })
 	}
--- a/policy/membership/news.go
+++ b/policy/membership/apply.go
@@ -43,35 +43,35 @@
 		return t.applyNew(now, m)
 	}
 	if !supersedes(m, r.Member) {
-		t.noteVersion(r, m)
+		t.raiseConfigVersion(r, m)
 		return Ignored
 	}
 	if m.ConfigVersion < r.ConfigVersion {
 		m.ConfigVersion = r.ConfigVersion
 	}
 	if m.State == dead && r.State != dead {
-		return t.applyDeath(now, r, m)
+		return t.applyDead(now, r, m)
 	}
 	if m.State == suspect {
-		t.rounds.urge(m.ID())
+		t.pingOrder.prioritise(m.ID())
 	}
-	t.set(now, r, m, "told by a member")
+	t.setStateAndGossip(now, r, m, "told by a member")
 	return Applied
 }
 
-// applyDeath turns news of a death into a suspicion, and has the member pinged.
+// applyDead turns news of a death into a suspicion, and has the member pinged.
 //
 // When a partition heals, each side hears from the other that its own members
 // are dead. Taken at its word, ownership of every replica would move away and
 // back within a second. Suspected members keep it, and have the suspect timeout
 // to refute.
-func (t *Table) applyDeath(now time.Time, r *record, m Member) Outcome {
-	t.rounds.urge(m.ID())
+func (t *Table) applyDead(now time.Time, r *record, m Member) Outcome {
+	t.pingOrder.prioritise(m.ID())
 	switch r.State {
 	case leaving:
 		m.State = leaving
-		if r.missed.IsZero() {
-			r.missed = now
+		if r.unansweredSince.IsZero() {
+			r.unansweredSince = now
 		}
 	default:
 		m.State = suspect
@@ -79,7 +79,7 @@
 	if m.State == r.State && m.Incarnation == r.Incarnation {
 		return Ignored
 	}
-	t.set(now, r, m, "called dead by a member")
+	t.setStateAndGossip(now, r, m, "called dead by a member")
 	return Applied
 }
 
@@ -130,20 +130,20 @@
 	if len(t.records) >= t.params.MaxMembers && !t.evictGone() {
 		return Ignored
 	}
-	r := &record{known: now}
+	r := &record{firstSeen: now}
 	t.records[m.ID()] = r
-	t.set(now, r, m, "told by a member")
+	t.setStateAndGossip(now, r, m, "told by a member")
 	if m.State != gone {
-		t.probeFirst(m)
+		t.prioritiseIfDuplicate(m)
 	}
 	return Applied
 }
 
-// probeFirst puts a new boot at the head of the ping order when another boot of
+// prioritiseIfDuplicate puts a new boot at the head of the ping order when another boot of
 // the same name is known, so that its answer settles which of them is running.
-func (t *Table) probeFirst(m Member) {
+func (t *Table) prioritiseIfDuplicate(m Member) {
 	if len(t.ByName(m.Name)) > 1 {
-		t.rounds.urge(m.ID())
+		t.pingOrder.prioritise(m.ID())
 	}
 }
 
@@ -158,17 +158,17 @@
 	if oldest == nil {
 		return false
 	}
-	t.forget(oldest.ID())
+	t.remove(oldest.ID())
 	return true
 }
 
-func (t *Table) forget(id ID) {
+func (t *Table) remove(id ID) {
 	delete(t.records, id)
 	t.queue.remove(id)
 }
 
-// noteVersion keeps the highest configuration version heard of a member.
-func (t *Table) noteVersion(r *record, m Member) {
+// raiseConfigVersion keeps the highest configuration version heard of a member.
+func (t *Table) raiseConfigVersion(r *record, m Member) {
 	if m.ConfigVersion > r.ConfigVersion {
 		r.ConfigVersion = m.ConfigVersion
 	}
--- a/policy/membership/cost_test.go
+++ b/policy/membership/cost_test.go
@@ -14,10 +14,10 @@
 
 // costs of the protocol alone, a node.
 type costs struct {
-	quietBytes, churnBytes, healBytes float64 // sent and received, a second
+	idleBytes, churnBytes, healBytes float64 // sent and received, a second
 	largest                           int
 	detect, dead, spread, join, leave time.Duration
-	cutNoticed, healed                time.Duration
+	partitionDetected, healed                time.Duration
 	processor                         float64 // share of a core
 	memory                            float64 // bytes
 	wrong                             []string
@@ -30,7 +30,7 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	s := newSim(count, seed)
+	s := newSimulation(count, seed)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	c.memory = float64(after.HeapAlloc) - float64(before.HeapAlloc)
@@ -45,7 +45,7 @@
 	began := time.Now()
 	s.run(10 * time.Second)
 	c.processor = time.Since(began).Seconds() / 10 / float64(count)
-	c.quietBytes = perNode(10 * time.Second)
+	c.idleBytes = perNode(10 * time.Second)
 	note := func(d time.Duration, ok bool) time.Duration {
 		c.complete = c.complete && ok
 		return d
@@ -53,26 +53,26 @@
 
 	victim := s.nodes["10.0.0.3:7000"]
 	victim.running = false
-	c.detect = note(s.until(10*time.Second, func() bool {
-		return s.anyone(func(n *simNode) bool { return n.state(victim.self) == suspect })
+	c.detect = note(s.runUntil(10*time.Second, func() bool {
+		return s.anyNode(func(n *simNode) bool { return n.stateOf(victim.self) == suspect })
 	}))
-	c.dead = c.detect + note(s.until(10*time.Second, func() bool {
-		return s.anyone(func(n *simNode) bool { return n.state(victim.self) == dead })
+	c.dead = c.detect + note(s.runUntil(10*time.Second, func() bool {
+		return s.anyNode(func(n *simNode) bool { return n.stateOf(victim.self) == dead })
 	}))
-	c.spread = c.dead + note(s.until(20*time.Second, func() bool {
-		return s.everyone(func(n *simNode) bool { return n.state(victim.self) == dead })
+	c.spread = c.dead + note(s.runUntil(20*time.Second, func() bool {
+		return s.allNodes(func(n *simNode) bool { return n.stateOf(victim.self) == dead })
 	}))
 
 	s.bytes = 0
 	fresh := s.start(3)
 	s.join(fresh, s.nodes["10.0.0.1:7000"])
-	c.join = note(s.until(20*time.Second, func() bool {
-		return s.everyone(func(n *simNode) bool { return n.state(fresh.self) == alive && n.state(victim.self) == gone })
+	c.join = note(s.runUntil(20*time.Second, func() bool {
+		return s.allNodes(func(n *simNode) bool { return n.stateOf(fresh.self) == alive && n.stateOf(victim.self) == gone })
 	}))
 	quitter := s.nodes["10.0.0.5:7000"]
 	quitter.Leave()
-	c.leave = note(s.until(20*time.Second, func() bool {
-		return s.everyone(func(n *simNode) bool { return n.state(quitter.self) == leaving })
+	c.leave = note(s.runUntil(20*time.Second, func() bool {
+		return s.allNodes(func(n *simNode) bool { return n.stateOf(quitter.self) == leaving })
 	}))
 	s.run(time.Minute - c.join - c.leave)
 	c.churnBytes = perNode(time.Minute)
@@ -85,9 +85,9 @@
 }
 
 // partition cuts the fleet in two halves for 20 s.
-func (c *costs) partition(s *sim, note func(time.Duration, bool) time.Duration, perNode func(time.Duration) float64) {
+func (c *costs) partition(s *simulation, note func(time.Duration, bool) time.Duration, perNode func(time.Duration) float64) {
 	side := func(n *simNode) bool { return n.self.DataCentre < "dc-4" }
-	s.cut = func(a, b *simNode) bool { return side(a) != side(b) }
+	s.partitioned = func(a, b *simNode) bool { return side(a) != side(b) }
 	// across is the share of the pairs of nodes cut apart for which a condition
 	// holds.
 	across := func(fits func(Member) bool) float64 {
@@ -107,11 +107,11 @@
 		return float64(fitting) / float64(pairs)
 	}
 	lost := func(m Member) bool { return m.State == suspect || m.State == dead }
-	c.cutNoticed = note(s.until(20*time.Second, func() bool { return across(lost) >= 0.99 }))
-	s.run(20*time.Second - c.cutNoticed)
-	s.cut = func(_, _ *simNode) bool { return false }
+	c.partitionDetected = note(s.runUntil(20*time.Second, func() bool { return across(lost) >= 0.99 }))
+	s.run(20*time.Second - c.partitionDetected)
+	s.partitioned = func(_, _ *simNode) bool { return false }
 	s.bytes = 0
-	c.healed = note(s.until(60*time.Second, func() bool {
+	c.healed = note(s.runUntil(60*time.Second, func() bool {
 		return across(func(m Member) bool { return m.State == alive }) == 1
 	}))
 	c.healBytes = perNode(c.healed)
@@ -130,8 +130,8 @@
 	return fmt.Sprintf("quiet %.0f B/s, a minute with one restart and one leave %.0f B/s, healing %.0f B/s, largest message %d B\n"+
 		"suspected %v, dead %v, dead everywhere %v, replacement known everywhere %v, leave known everywhere %v\n"+
 		"partition known for 99%% of pairs after %v, healed for all after %v; processor %.4f%%, memory %.0f KB",
-		c.quietBytes, c.churnBytes, c.healBytes, c.largest, c.detect, c.dead, c.spread, c.join, c.leave,
-		c.cutNoticed, c.healed, 100*c.processor, c.memory/1024)
+		c.idleBytes, c.churnBytes, c.healBytes, c.largest, c.detect, c.dead, c.spread, c.join, c.leave,
+		c.partitionDetected, c.healed, 100*c.processor, c.memory/1024)
 }
 
 // Bounds of the protocol in virtual time. For 750 nodes see BenchmarkFleet.
@@ -143,12 +143,12 @@
 			t.Log(m)
 			c.Assert(m.complete, qt.IsTrue)
 			c.Check(m.wrong, qt.HasLen, 0)
-			c.Check(m.quietBytes < 4096, qt.IsTrue)
+			c.Check(m.idleBytes < 4096, qt.IsTrue)
 			c.Check(m.churnBytes < 4096, qt.IsTrue)
 			c.Check(m.detect < 2*time.Second, qt.IsTrue)
 			c.Check(m.spread < 5*time.Second, qt.IsTrue)
 			c.Check(m.leave < 3*time.Second, qt.IsTrue)
-			c.Check(m.cutNoticed < 6*time.Second, qt.IsTrue)
+			c.Check(m.partitionDetected < 6*time.Second, qt.IsTrue)
 			c.Check(m.healed < 8*time.Second, qt.IsTrue)
 		})
 	}
@@ -158,7 +158,7 @@
 // did.
 func TestIdleTrafficOfLargeFleetIsBounded(t *testing.T) {
 	const nodes = 750
-	s := newSim(nodes, 1)
+	s := newSimulation(nodes, 1)
 	s.run(2 * time.Second)
 	s.bytes = 0
 	s.run(4 * time.Second)
@@ -176,7 +176,7 @@
 			for range b.N {
 				m := measure(count, 1)
 				b.Log(m)
-				b.ReportMetric(m.quietBytes, "quietB/s")
+				b.ReportMetric(m.idleBytes, "quietB/s")
 				b.ReportMetric(m.churnBytes, "churnB/s")
 				b.ReportMetric(m.spread.Seconds(), "spread-s")
 				b.ReportMetric(100*m.processor, "core-%")
--- a/policy/membership/fuzz_test.go
+++ b/policy/membership/fuzz_test.go
@@ -12,16 +12,16 @@
 	"github.com/carobmill/carobmill/policy/modeltest"
 )
 
-// broken is a variant that the check has to catch.
-type broken struct {
+// brokenVariant is a variant that the check has to catch.
+type brokenVariant struct {
 	// listsLagLong has the platform's list lag longer than it is taken to.
 	listsLagLong bool
-	// requestsCondemn takes a request, late or not, for proof that its sender runs.
-	requestsCondemn bool
+	// requestsProveLiveness takes a request, late or not, for proof that its sender runs.
+	requestsProveLiveness bool
 	// noRefutation has members ignore news about themselves.
 	noRefutation bool
-	// goneIsForgotten drops the memory of boots that are gone at once.
-	goneIsForgotten bool
+	// goneNotRetained drops the memory of boots that are gone at once.
+	goneNotRetained bool
 }
 
 // vm is one place in the fleet: a name and an address, where one boot runs.
@@ -30,15 +30,15 @@
 	table         *Table // nil while nothing runs there
 }
 
-// bootTruth is what really became of a boot.
-type bootTruth struct {
+// actualBoot is what really became of a boot.
+type actualBoot struct {
 	table   *Table
 	running bool
 	left    bool
 }
 
-// rumour is a message under way.
-type rumour struct {
+// message is a message under way.
+type message struct {
 	from    ID
 	address string
 	to      *vm
@@ -46,18 +46,18 @@
 }
 
 type fleetModel struct {
-	broken
+	brokenVariant
 	now    time.Time
 	boots  uint64
 	vms    []*vm
-	truth  map[ID]*bootTruth
-	late   []rumour
-	listed []listing
+	actual  map[ID]*actualBoot
+	delayed   []message
+	vmLists []timedVMList
 	gone   map[*Table]map[ID]time.Time
 }
 
-// listing is the true VM list at a time.
-type listing struct {
+// timedVMList is the true VM list at a time.
+type timedVMList struct {
 	at   time.Time
 	list []ListedVM
 }
@@ -66,39 +66,39 @@
 	f.boots++
 	self := Member{Name: v.name, Boot: f.boots, DataCentre: "a", PeerAddress: v.address}
 	v.table = New(self, f.params(), rand.New(rand.NewPCG(f.boots, 3)))
-	f.truth[v.table.Self().ID()] = &bootTruth{table: v.table, running: true}
+	f.actual[v.table.Self().ID()] = &actualBoot{table: v.table, running: true}
 	f.gone[v.table] = make(map[ID]time.Time)
-	f.record()
+	f.recordVMList()
 }
 
 func (f *fleetModel) params() Params {
 	p := DefaultParams()
-	if f.goneIsForgotten {
+	if f.goneNotRetained {
 		p.GoneRetention = 0
 	}
 	return p
 }
 
-// record keeps the VM list of this moment.
-func (f *fleetModel) record() {
+// recordVMList keeps the VM list of this moment.
+func (f *fleetModel) recordVMList() {
 	var list []ListedVM
 	for _, v := range f.vms {
 		if v.table != nil {
 			list = append(list, ListedVM{Name: v.name})
 		}
 	}
-	f.listed = append(f.listed, listing{f.now, list})
+	f.vmLists = append(f.vmLists, timedVMList{f.now, list})
 }
 
 func (f *fleetModel) stop(v *vm, left bool) {
-	truth := f.truth[v.table.Self().ID()]
+	truth := f.actual[v.table.Self().ID()]
 	truth.running, truth.left = false, left
 	v.table = nil
-	f.record()
+	f.recordVMList()
 }
 
-// take has the node at a VM receive changes.
-func (f *fleetModel) take(t *rapid.T, v *vm, changes []*pb.MemberChange) {
+// applyAll has the node at a VM receive changes.
+func (f *fleetModel) applyAll(t *rapid.T, v *vm, changes []*pb.MemberChange) {
 	for _, c := range changes {
 		if f.noRefutation && c.GetNode() == v.name {
 			continue
@@ -109,7 +109,7 @@
 	}
 }
 
-func (f *fleetModel) message(from *Table, about ID) []*pb.MemberChange {
+func (f *fleetModel) changesFor(from *Table, about ID) []*pb.MemberChange {
 	changes := append(from.Changes(), from.Self().Change())
 	if len(changes) > from.params.MaxChanges+1 {
 		panic("a message carries too many changes")
@@ -123,30 +123,30 @@
 // ping sends a ping from one VM to a member at its address. lost is 0 when both
 // messages arrive, 1 when the request is lost, 2 when the answer is.
 func (f *fleetModel) ping(t *rapid.T, from *vm, target Member, lost int) {
-	request := f.message(from.table, target.ID())
+	request := f.changesFor(from.table, target.ID())
 	to := f.at(target.PeerAddress)
 	if lost == 1 || to == nil || to.table == nil {
 		from.table.PingFailed(f.now, target.ID())
 		return
 	}
 	sender := from.table.Self().ID()
-	f.receive(t, rumour{from: sender, address: from.address, to: to, changes: request})
-	answer := f.message(to.table, sender)
+	f.receive(t, message{from: sender, address: from.address, to: to, changes: request})
+	answer := f.changesFor(to.table, sender)
 	if lost == 2 {
-		f.late = append(f.late, rumour{from: to.table.Self().ID(), address: to.address, to: from, changes: answer})
+		f.delayed = append(f.delayed, message{from: to.table.Self().ID(), address: to.address, to: from, changes: answer})
 		from.table.PingFailed(f.now, target.ID())
 		return
 	}
-	f.take(t, from, answer)
+	f.applyAll(t, from, answer)
 	from.table.PingAnswered(f.now, to.table.Self().ID(), target.PeerAddress)
 }
 
-func (f *fleetModel) receive(t *rapid.T, r rumour) {
+func (f *fleetModel) receive(t *rapid.T, r message) {
 	if r.to.table == nil {
 		return
 	}
-	f.take(t, r.to, r.changes)
-	if f.requestsCondemn {
+	f.applyAll(t, r.to, r.changes)
+	if f.requestsProveLiveness {
 		r.to.table.PingAnswered(f.now, r.from, r.address)
 	}
 }
@@ -168,10 +168,10 @@
 	}
 }
 
-// list gives a node the VM list of up to lag ago.
-func (f *fleetModel) list(v *vm, lag time.Duration) {
-	seen := f.listed[0]
-	for _, l := range f.listed {
+// applyVMList gives a node the VM applyVMList of up to lag ago.
+func (f *fleetModel) applyVMList(v *vm, lag time.Duration) {
+	seen := f.vmLists[0]
+	for _, l := range f.vmLists {
 		if !l.at.After(f.now.Add(-lag)) {
 			seen = l
 		}
@@ -186,7 +186,7 @@
 			continue
 		}
 		for id, r := range v.table.records {
-			truth := f.truth[id]
+			truth := f.actual[id]
 			switch {
 			case r.State == gone && truth.running:
 				t.Fatalf("GoneIsTrue: %s counts %v as gone, which runs", v.name, id)
@@ -207,9 +207,9 @@
 	}
 }
 
-// settle ends the faults, lets every node ping every other one a few times, and
+// checkConvergence ends the faults, lets every node ping every other one a few times, and
 // checks that they agree.
-func (f *fleetModel) settle(t *rapid.T) {
+func (f *fleetModel) checkConvergence(t *rapid.T) {
 	for range 5 {
 		for _, v := range f.vms {
 			if v.table == nil {
@@ -220,7 +220,7 @@
 				if other == v || other.table == nil {
 					continue
 				}
-				f.take(t, v, other.table.AllChanges())
+				f.applyAll(t, v, other.table.AllChanges())
 				f.ping(t, v, other.table.Self(), 0)
 			}
 		}
@@ -243,24 +243,24 @@
 	}
 }
 
-func membershipLife(b broken) func(*rapid.T) {
+func membershipProperty(b brokenVariant) func(*rapid.T) {
 	return func(t *rapid.T) {
 		f := &fleetModel{
-			broken: b,
+			brokenVariant: b,
 			now:    time.Unix(1000, 0),
-			truth:  make(map[ID]*bootTruth),
+			actual:  make(map[ID]*actualBoot),
 			gone:   make(map[*Table]map[ID]time.Time),
 		}
 		for i := range rapid.IntRange(2, 4).Draw(t, "nodes") {
 			f.vms = append(f.vms, &vm{name: fmt.Sprint("n", i), address: fmt.Sprint("10.0.0.", i)})
 		}
-		f.record()
+		f.recordVMList()
 		for _, v := range f.vms {
 			f.boot(v)
 		}
 		for _, v := range f.vms {
 			for _, other := range f.vms {
-				f.take(t, v, other.table.AllChanges())
+				f.applyAll(t, v, other.table.AllChanges())
 			}
 		}
 		running := func(do func(*rapid.T, *vm)) func(*rapid.T) {
@@ -280,9 +280,9 @@
 			"ping2": ping,
 			"ping3": ping,
 			"late": func(t *rapid.T) {
-				if len(f.late) > 0 {
-					i := rapid.IntRange(0, len(f.late)-1).Draw(t, "which")
-					f.receive(t, f.late[i])
+				if len(f.delayed) > 0 {
+					i := rapid.IntRange(0, len(f.delayed)-1).Draw(t, "which")
+					f.receive(t, f.delayed[i])
 				}
 			},
 			"pass": func(t *rapid.T) {
@@ -314,7 +314,7 @@
 				f.boot(v)
 				for _, other := range f.vms {
 					if other != v && other.table != nil {
-						f.take(t, v, other.table.AllChanges())
+						f.applyAll(t, v, other.table.AllChanges())
 						break
 					}
 				}
@@ -324,11 +324,11 @@
 				if f.listsLagLong {
 					lags = []int{200, 300}
 				}
-				f.list(v, time.Duration(rapid.SampledFrom(lags).Draw(t, "lag s"))*time.Second)
+				f.applyVMList(v, time.Duration(rapid.SampledFrom(lags).Draw(t, "lag s"))*time.Second)
 			}),
 			"": f.check,
 		})
-		f.settle(t)
+		f.checkConvergence(t)
 		f.check(t)
 	}
 }
@@ -340,17 +340,17 @@
 //
 //	go test ./policy/membership -run LossAndReplacement -rapid.checks=200000 -rapid.seed=$RANDOM
 func TestMembershipConvergesAfterLossAndReplacement(t *testing.T) {
-	rapid.Check(t, membershipLife(broken{}))
+	rapid.Check(t, membershipProperty(brokenVariant{}))
 }
 
 // The seed is the one of modeltest.
 func TestMembershipCheckCatchesBrokenVariants(t *testing.T) {
-	for name, b := range map[string]broken{
+	for name, b := range map[string]brokenVariant{
 		"lists lag longer than stated": {listsLagLong: true},
-		"late requests condemn":        {requestsCondemn: true},
+		"late requests condemn":        {requestsProveLiveness: true},
 		"no refutation":                {noRefutation: true},
-		"gone boots are forgotten":     {goneIsForgotten: true},
+		"gone boots are forgotten":     {goneNotRetained: true},
 	} {
-		t.Run(name, func(t *testing.T) { modeltest.Caught(t, "", membershipLife(b)) })
+		t.Run(name, func(t *testing.T) { modeltest.Caught(t, "", membershipProperty(b)) })
 	}
 }
--- a/policy/membership/ping.go
+++ b/policy/membership/ping.go
@@ -12,47 +12,47 @@
 // partition is noticed without half of all pings being wasted during one.
 const deadEvery = 5
 
-// urgentEvery makes each urgentEvery-th ping go to an urgent member.
-const urgentEvery = 3
+// priorityEvery makes each priorityEvery-th ping go to an urgent member.
+const priorityEvery = 3
 
-// rounds is the order of pings: each member of the set once a round, in a new random order
+// pingOrder is the order of pings: each member of the set once a round, in a new random order
 // each round, which bounds the time between two pings of one member.
-type rounds struct {
-	urgent []ID
+type pingOrder struct {
+	priority []ID
 	living []ID
 	dead   []ID
-	count  int
+	pings  int
 }
 
-// maxUrgent bounds the members at the head of the ping order, so that much bad
+// maxPriority bounds the members at the head of the ping order, so that much bad
 // news at once does not become a stampede of pings.
-const maxUrgent = 16
+const maxPriority = 16
 
-// urge puts a member at the head of the ping order.
-func (r *rounds) urge(id ID) {
-	if len(r.urgent) >= maxUrgent {
+// prioritise puts a member at the head of the ping order.
+func (r *pingOrder) prioritise(id ID) {
+	if len(r.priority) >= maxPriority {
 		return
 	}
-	for _, queued := range r.urgent {
+	for _, queued := range r.priority {
 		if queued == id {
 			return
 		}
 	}
-	r.urgent = append(r.urgent, id)
+	r.priority = append(r.priority, id)
 }
 
 // PrioritisePing has a member pinged next: a call to it failed.
 func (t *Table) PrioritisePing(name string) {
 	for _, m := range t.ByName(name) {
 		if m.ID() != t.self.ID() {
-			t.rounds.urge(m.ID())
+			t.pingOrder.prioritise(m.ID())
 		}
 	}
 }
 
 // HasPriorityPing reports whether the next target was urged.
 func (t *Table) HasPriorityPing() bool {
-	return len(t.rounds.urgent) > 0
+	return len(t.pingOrder.priority) > 0
 }
 
 // NextTarget returns the member to ping next, or false when there is none.
@@ -60,45 +60,45 @@
 // Most pings go to members in turn even while others are urgent. In a partition
 // all urgent members are cut off, and news travels only with pings that arrive.
 func (t *Table) NextTarget() (Member, bool) {
-	r := &t.rounds
-	r.count++
-	if r.count%urgentEvery == 0 {
-		if m, ok := t.take(&r.urgent, Member.pingable); ok {
+	r := &t.pingOrder
+	r.pings++
+	if r.pings%priorityEvery == 0 {
+		if m, ok := t.popMatching(&r.priority, Member.pingable); ok {
 			return m, true
 		}
 	}
-	if r.count%deadEvery == 0 {
-		if m, ok := t.fromRound(&r.dead, Member.isDead); ok {
+	if r.pings%deadEvery == 0 {
+		if m, ok := t.nextInRound(&r.dead, Member.isDead); ok {
 			return m, true
 		}
 	}
-	if m, ok := t.fromPingSet(&r.living); ok {
+	if m, ok := t.nextInPingSet(&r.living); ok {
 		return m, true
 	}
-	return t.fromRound(&r.dead, Member.isDead)
+	return t.nextInRound(&r.dead, Member.isDead)
 }
 
 func (m Member) pingable() bool { return m.State != gone }
 func (m Member) isDead() bool   { return m.State == dead }
 func (m Member) isLiving() bool { return m.State == alive || m.State == leaving }
 
-// fromRound takes the next fitting member of a round and starts a new round
+// nextInRound takes the next fitting member of a round and starts a new round
 // when it is used up.
-func (t *Table) fromRound(order *[]ID, fits func(Member) bool) (Member, bool) {
-	if m, ok := t.take(order, fits); ok {
+func (t *Table) nextInRound(order *[]ID, fits func(Member) bool) (Member, bool) {
+	if m, ok := t.popMatching(order, fits); ok {
 		return m, true
 	}
 	*order = t.shuffled(fits)
-	return t.take(order, fits)
+	return t.popMatching(order, fits)
 }
 
-// fromPingSet is fromRound for the living members of this node's ping set.
-func (t *Table) fromPingSet(order *[]ID) (Member, bool) {
-	if m, ok := t.take(order, Member.isLiving); ok {
+// nextInPingSet is fromRound for the living members of this node's ping set.
+func (t *Table) nextInPingSet(order *[]ID) (Member, bool) {
+	if m, ok := t.popMatching(order, Member.isLiving); ok {
 		return m, true
 	}
 	*order = t.pingSet(t.shuffled(Member.isLiving))
-	return t.take(order, Member.isLiving)
+	return t.popMatching(order, Member.isLiving)
 }
 
 // pingSet keeps the members that this node pings, in their order: those with the
@@ -134,8 +134,8 @@
 	return xxhash.Sum64String(t.self.Name + "\x00" + id.Name)
 }
 
-// take removes members from the head of order until one fits.
-func (t *Table) take(order *[]ID, fits func(Member) bool) (Member, bool) {
+// popMatching removes members from the head of order until one fits.
+func (t *Table) popMatching(order *[]ID, fits func(Member) bool) (Member, bool) {
 	for len(*order) > 0 {
 		id := (*order)[0]
 		*order = (*order)[1:]
@@ -186,7 +186,7 @@
 		if known.State == gone {
 			return
 		}
-		known.missed = time.Time{}
+		known.unansweredSince = time.Time{}
 	}
 	replaced := t.matching(func(r *record) bool {
 		samePlace := r.Name == id.Name || r.PeerAddress == address
@@ -195,7 +195,7 @@
 	for _, r := range replaced {
 		m := r.Member
 		m.State = gone
-		t.set(now, r, m, "another boot answered in its place")
+		t.setStateAndGossip(now, r, m, "another boot answered in its place")
 	}
 }
 
@@ -208,9 +208,9 @@
 	case r.State == alive:
 		m := r.Member
 		m.State = suspect
-		t.set(now, r, m, "no answer to pings")
-	case r.State == leaving && r.missed.IsZero():
-		r.missed = now
+		t.setStateAndGossip(now, r, m, "no answer to pings")
+	case r.State == leaving && r.unansweredSince.IsZero():
+		r.unansweredSince = now
 	}
 }
 
@@ -222,7 +222,7 @@
 		case suspect:
 			return now.Sub(r.Since) >= t.params.SuspectTimeout
 		case leaving:
-			return !r.missed.IsZero() && now.Sub(r.missed) >= t.params.SuspectTimeout
+			return !r.unansweredSince.IsZero() && now.Sub(r.unansweredSince) >= t.params.SuspectTimeout
 		case gone:
 			return now.Sub(r.Since) >= t.params.GoneRetention
 		default:
@@ -231,14 +231,14 @@
 	})
 	for _, r := range overdue {
 		if r.State == gone {
-			t.forget(r.ID())
+			t.remove(r.ID())
 			continue
 		}
 		// Each member that heard of the suspicion counts the time itself, so this
 		// starts no second wave of news.
 		m := r.Member
 		m.State = dead
-		t.note(now, r, m, "no answer for too long")
+		t.setState(now, r, m, "no answer for too long")
 	}
 }
 
--- a/policy/membership/queue.go
+++ b/policy/membership/queue.go
@@ -7,27 +7,27 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// queue holds the members whose news is still passed on, and how often it was.
-type queue struct {
-	sent map[ID]int
+// gossipQueue holds the members whose news is still passed on, and how often it was.
+type gossipQueue struct {
+	sendCounts map[ID]int
 }
 
 // add starts passing on the news of a member, from the beginning if it was
 // queued already.
-func (q *queue) add(id ID) {
-	if q.sent == nil {
-		q.sent = make(map[ID]int)
+func (q *gossipQueue) add(id ID) {
+	if q.sendCounts == nil {
+		q.sendCounts = make(map[ID]int)
 	}
-	q.sent[id] = 0
+	q.sendCounts[id] = 0
 }
 
-func (q *queue) remove(id ID) {
-	delete(q.sent, id)
+func (q *gossipQueue) remove(id ID) {
+	delete(q.sendCounts, id)
 }
 
 // Pending is the number of members whose news is still passed on.
 func (t *Table) Pending() int {
-	return len(t.queue.sent)
+	return len(t.queue.sendCounts)
 }
 
 // Changes returns the news to put on the next message, the least sent first, at
@@ -35,32 +35,32 @@
 // Retransmit x log10(members) messages: by then it has reached every reachable
 // member with high probability, and the rounds of pings carry what is missing.
 func (t *Table) Changes() []*pb.MemberChange {
-	if len(t.queue.sent) == 0 {
+	if len(t.queue.sendCounts) == 0 {
 		return nil
 	}
-	ids := make([]ID, 0, len(t.queue.sent))
-	for id := range t.queue.sent {
+	ids := make([]ID, 0, len(t.queue.sendCounts))
+	for id := range t.queue.sendCounts {
 		ids = append(ids, id)
 	}
 	sort.Slice(ids, func(i, j int) bool {
 		a, b := ids[i], ids[j]
-		if t.queue.sent[a] != t.queue.sent[b] {
-			return t.queue.sent[a] < t.queue.sent[b]
+		if t.queue.sendCounts[a] != t.queue.sendCounts[b] {
+			return t.queue.sendCounts[a] < t.queue.sendCounts[b]
 		}
 		return a.less(b)
 	})
 	if len(ids) > t.params.MaxChanges {
 		ids = ids[:t.params.MaxChanges]
 	}
-	limit := t.retransmissions()
+	limit := t.retransmitLimit()
 	changes := make([]*pb.MemberChange, 0, len(ids))
 	for _, id := range ids {
 		if m, ok := t.Lookup(id); ok {
 			changes = append(changes, m.Change())
 		}
-		t.queue.sent[id]++
-		if t.queue.sent[id] >= limit {
-			delete(t.queue.sent, id)
+		t.queue.sendCounts[id]++
+		if t.queue.sendCounts[id] >= limit {
+			delete(t.queue.sendCounts, id)
 		}
 	}
 	return changes
@@ -72,13 +72,13 @@
 func (t *Table) MarkUnsent(changes []*pb.MemberChange) {
 	for _, c := range changes {
 		id := ID{c.GetNode(), c.GetBoot()}
-		if sent := t.queue.sent[id]; sent > 0 {
-			t.queue.sent[id] = sent - 1
+		if sent := t.queue.sendCounts[id]; sent > 0 {
+			t.queue.sendCounts[id] = sent - 1
 		}
 	}
 }
 
-func (t *Table) retransmissions() int {
+func (t *Table) retransmitLimit() int {
 	n := float64(len(t.records) + 2)
 	return int(math.Ceil(float64(t.params.RetransmitFactor) * math.Log10(n)))
 }
--- a/policy/membership/sim_test.go
+++ b/policy/membership/simulation_test.go
@@ -19,15 +19,15 @@
 	simHelpers  = 3
 )
 
-// sim runs tables against each other in virtual time.
-type sim struct {
+// simulation runs tables against each other in virtual time.
+type simulation struct {
 	now    time.Time
 	rng    *rand.Rand
 	events events
 	seq    int
 	nodes  map[string]*simNode // by address
-	// cut reports whether messages between two nodes are lost.
-	cut func(a, b *simNode) bool
+	// partitioned reports whether messages between two nodes are lost.
+	partitioned func(a, b *simNode) bool
 	// bytes sent and messages, and the largest message.
 	bytes, messages, largest int
 }
@@ -61,12 +61,12 @@
 	return last
 }
 
-func newSim(count int, seed uint64) *sim {
-	s := &sim{
+func newSimulation(count int, seed uint64) *simulation {
+	s := &simulation{
 		now:   time.Unix(1000, 0),
 		rng:   rand.New(rand.NewPCG(seed, 1)),
 		nodes: make(map[string]*simNode),
-		cut:   func(_, _ *simNode) bool { return false },
+		partitioned:   func(_, _ *simNode) bool { return false },
 	}
 	var all []*simNode
 	for i := range count {
@@ -78,12 +78,12 @@
 				n.records[other.self.ID()] = &record{Member: other.self}
 			}
 		}
-		n.queue = queue{}
+		n.queue = gossipQueue{}
 	}
 	return s
 }
 
-func (s *sim) start(i int) *simNode {
+func (s *simulation) start(i int) *simNode {
 	self := Member{
 		Name:          fmt.Sprintf("vm-%03d", i),
 		Boot:          s.rng.Uint64(),
@@ -93,17 +93,17 @@
 	}
 	n := &simNode{Table: New(self, DefaultParams(), rand.New(rand.NewPCG(s.rng.Uint64(), 2))), running: true}
 	s.nodes[self.PeerAddress] = n
-	s.after(time.Duration(s.rng.Int64N(int64(simInterval))), func() { s.loop(n) })
+	s.after(time.Duration(s.rng.Int64N(int64(simInterval))), func() { s.pingLoop(n) })
 	return n
 }
 
-func (s *sim) after(d time.Duration, do func()) {
+func (s *simulation) after(d time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.events, simEvent{s.now.Add(d), s.seq, do})
 }
 
 // run lets virtual time pass.
-func (s *sim) run(d time.Duration) {
+func (s *simulation) run(d time.Duration) {
 	end := s.now.Add(d)
 	for len(s.events) > 0 && !s.events[0].at.After(end) {
 		e := heap.Pop(&s.events).(simEvent)
@@ -113,33 +113,33 @@
 	s.now = end
 }
 
-// until runs until a condition holds, and returns how long that took.
-func (s *sim) until(limit time.Duration, holds func() bool) (time.Duration, bool) {
+// runUntil runs runUntil a condition holds, and returns how long that took.
+func (s *simulation) runUntil(limit time.Duration, holds func() bool) (time.Duration, bool) {
 	began := s.now
 	for !holds() {
 		if s.now.Sub(began) > limit {
 			return limit, false
 		}
-		s.run(s.step())
+		s.run(s.pollInterval())
 	}
 	return s.now.Sub(began), true
 }
 
-// step is how often until looks: rarely in large fleets, where a look costs
+// pollInterval is how often until looks: rarely in large fleets, where a look costs
 // much.
-func (s *sim) step() time.Duration {
+func (s *simulation) pollInterval() time.Duration {
 	if len(s.nodes) > 100 {
 		return 200 * time.Millisecond
 	}
 	return 20 * time.Millisecond
 }
 
-// loop pings one member in turn.
-func (s *sim) loop(n *simNode) {
+// pingLoop pings one member in turn.
+func (s *simulation) pingLoop(n *simNode) {
 	if !n.running {
 		return
 	}
-	s.after(simInterval/2+time.Duration(s.rng.Int64N(int64(simInterval))), func() { s.loop(n) })
+	s.after(simInterval/2+time.Duration(s.rng.Int64N(int64(simInterval))), func() { s.pingLoop(n) })
 	n.Tick(s.now)
 	target, ok := n.NextTarget()
 	if !ok {
@@ -149,12 +149,12 @@
 		if answered || !n.running {
 			return
 		}
-		s.throughHelpers(n, target)
+		s.pingThroughHelpers(n, target)
 	})
 }
 
 // ping sends a ping; done hears whether an answer came in time.
-func (s *sim) ping(n *simNode, target Member, done func(bool)) {
+func (s *simulation) ping(n *simNode, target Member, done func(bool)) {
 	news := n.Changes()
 	changes := append(news[:len(news):len(news)], n.Self().Change())
 	if about := n.NonAliveChange(target.ID()); about != nil {
@@ -170,7 +170,7 @@
 	}
 	s.after(simDelay, func() {
 		sender := n.Self().ID()
-		s.take(other, changes)
+		s.applyAll(other, changes)
 		answer := other.Changes()
 		if about := other.NonAliveChange(sender); about != nil {
 			answer = append(answer, about)
@@ -178,7 +178,7 @@
 		s.send(other, n.self.PeerAddress, &pb.GossipResponse{Envelope: envelopeOf(other, answer)})
 		id := other.Self().ID()
 		s.after(simDelay, func() {
-			s.take(n, answer)
+			s.applyAll(n, answer)
 			n.PingAnswered(s.now, id, target.PeerAddress)
 			if target.State == dead && id == target.ID() {
 				s.join(n, other)
@@ -189,13 +189,13 @@
 }
 
 // join takes over the whole table of another member.
-func (s *sim) join(n, other *simNode) {
+func (s *simulation) join(n, other *simNode) {
 	all := other.AllChanges()
 	s.send(other, n.self.PeerAddress, &pb.GossipResponse{Envelope: envelopeOf(other, all)})
-	s.take(n, all)
+	s.applyAll(n, all)
 }
 
-func (s *sim) throughHelpers(n *simNode, target Member) {
+func (s *simulation) pingThroughHelpers(n *simNode, target Member) {
 	answered := false
 	for _, helper := range n.Helpers(target.ID(), simHelpers) {
 		via := s.send(n, helper.PeerAddress, &pb.GossipRequest{Envelope: envelopeOf(n, nil), Target: target.Name})
@@ -206,7 +206,7 @@
 			answered = answered || ok
 			if news := via.NonAliveChanges(target.Name); !ok && n.running {
 				s.send(via, n.self.PeerAddress, &pb.GossipResponse{Envelope: envelopeOf(via, news)})
-				s.take(n, news)
+				s.applyAll(n, news)
 			}
 		})
 	}
@@ -218,19 +218,19 @@
 }
 
 // send counts a message and returns the node that it reaches, or nil.
-func (s *sim) send(from *simNode, addr string, m proto.Message) *simNode {
+func (s *simulation) send(from *simNode, addr string, m proto.Message) *simNode {
 	size := proto.Size(m)
 	s.bytes += size
 	s.messages++
 	s.largest = max(s.largest, size)
 	to := s.nodes[addr]
-	if to == nil || !to.running || s.cut(from, to) {
+	if to == nil || !to.running || s.partitioned(from, to) {
 		return nil
 	}
 	return to
 }
 
-func (s *sim) take(n *simNode, changes []*pb.MemberChange) {
+func (s *simulation) applyAll(n *simNode, changes []*pb.MemberChange) {
 	for _, c := range changes {
 		if n.Apply(s.now, c) == DeclaredGone {
 			n.Rejoin(s.rng.Uint64())
@@ -249,8 +249,8 @@
 	}
 }
 
-// everyone reports whether a condition holds at each running node.
-func (s *sim) everyone(holds func(n *simNode) bool) bool {
+// allNodes reports whether a condition holds at each running node.
+func (s *simulation) allNodes(holds func(n *simNode) bool) bool {
 	for _, n := range s.nodes {
 		if n.running && !holds(n) {
 			return false
@@ -259,12 +259,12 @@
 	return true
 }
 
-func (s *sim) anyone(holds func(n *simNode) bool) bool {
-	return !s.everyone(func(n *simNode) bool { return !holds(n) })
+func (s *simulation) anyNode(holds func(n *simNode) bool) bool {
+	return !s.allNodes(func(n *simNode) bool { return !holds(n) })
 }
 
-// state is what a node believes of another.
-func (n *simNode) state(of Member) pb.MemberState {
+// stateOf is what a node believes of another.
+func (n *simNode) stateOf(of Member) pb.MemberState {
 	m, _ := n.Lookup(of.ID())
 	return m.State
 }
--- a/policy/membership/table.go
+++ b/policy/membership/table.go
@@ -19,10 +19,10 @@
 // record is a member with what only this node knows of it.
 type record struct {
 	Member
-	// missed is when a leaving member first did not answer; zero when it does.
-	missed time.Time
-	// known is when this node first heard of the boot.
-	known time.Time
+	// unansweredSince is when a leaving member first did not answer; zero when it does.
+	unansweredSince time.Time
+	// firstSeen is when this node first heard of the boot.
+	firstSeen time.Time
 }
 
 // Table is one node's view of the fleet. It is not safe for concurrent use.
@@ -31,8 +31,8 @@
 	params  Params
 	rng     *rand.Rand
 	records map[ID]*record
-	queue   queue
-	rounds  rounds
+	queue   gossipQueue
+	pingOrder  pingOrder
 	// transitions since the last Transitions call.
 	transitions []Transition
 	// version rises with each change that others can see.
@@ -153,14 +153,14 @@
 	t.queue.add(t.self.ID())
 }
 
-// set takes a new state of a record and passes it on.
-func (t *Table) set(now time.Time, r *record, m Member, cause string) {
-	t.note(now, r, m, cause)
+// setStateAndGossip takes a new state of a record and passes it on.
+func (t *Table) setStateAndGossip(now time.Time, r *record, m Member, cause string) {
+	t.setState(now, r, m, cause)
 	t.queue.add(m.ID())
 }
 
-// note takes a new state of a record.
-func (t *Table) note(now time.Time, r *record, m Member, cause string) {
+// setState takes a new state of a record.
+func (t *Table) setState(now time.Time, r *record, m Member, cause string) {
 	from := r.State
 	m.Since = r.Since
 	if from != m.State {
--- a/policy/membership/list.go
+++ b/policy/membership/vmlist.go
@@ -30,11 +30,11 @@
 		return
 	}
 	absent := t.matching(func(r *record) bool {
-		return r.State == dead && !listed[r.Name] && now.Sub(r.known) > t.params.ListLag
+		return r.State == dead && !listed[r.Name] && now.Sub(r.firstSeen) > t.params.ListLag
 	})
 	for _, r := range absent {
 		m := r.Member
 		m.State = gone
-		t.set(now, r, m, "dead and no longer listed by the platform")
+		t.setStateAndGossip(now, r, m, "dead and no longer listed by the platform")
 	}
 }
--- a/policy/ownership/claims.go
+++ b/policy/ownership/claims.go
@@ -60,40 +60,40 @@
 // Claims is not safe for concurrent use.
 type Claims struct {
 	params ClaimParams
-	// held are this node's claims by replica: each node that was ever asked. A node
+	// consents are this node's claims by replica: each node that was ever asked. A node
 	// that was asked may have granted although its answer was lost, so its consent
 	// is needed from then on.
-	held map[string]map[Node]consent
-	// given are the grants to others by replica, lapsed ones included: they show
+	consents map[string]map[Node]consent
+	// grants are the grants to others by replica, lapsed ones included: they show
 	// which claimants depend on this node.
-	given map[string]map[Node]grant
-	// used is when this node was last allowed to send to a replica.
-	used map[string]time.Time
-	// ceded is when this node last gave its consents to a replica back. Answers to
+	grants map[string]map[Node]grant
+	// lastUse is when this node was last allowed to send to a replica.
+	lastUse map[string]time.Time
+	// lastRelease is when this node last gave its consents to a replica back. Answers to
 	// questions sent up to then count no more.
-	ceded map[string]time.Time
+	lastRelease map[string]time.Time
 	// round numbers the messages of this boot with claims or releases.
 	round uint64
 }
 
 // consent is what this node knows of another one's consent to it.
 type consent struct {
-	// until is when the consent lapses, by this node's clock.
-	until time.Time
-	// asked is the round of the last question that was not given back since; 0
+	// expires is when the consent lapses, by this node's clock.
+	expires time.Time
+	// requestRound is the round of the last question that was not given back since; 0
 	// when there is none.
-	asked uint64
+	requestRound uint64
 }
 
 // grant is this node's consent to one claimant.
 type grant struct {
-	lapses time.Time
-	// asked is when the claimant asked last, granted or not. While it asks, this
+	expires time.Time
+	// lastRequest is when the claimant lastRequest last, granted or not. While it asks, this
 	// node stops and lets it have the replica.
-	asked time.Time
-	// round is the highest round of a claim that was granted, released that of a
+	lastRequest time.Time
+	// grantedRound is the highest grantedRound of a claim that was granted, releasedRound that of a
 	// release that was taken.
-	round, released uint64
+	grantedRound, releasedRound uint64
 }
 
 // Claim names what one message of a node says about one replica: that it claims
@@ -109,11 +109,11 @@
 // NewClaims returns claims of a node that has just started and holds nothing.
 func NewClaims(params ClaimParams) *Claims {
 	return &Claims{
-		params: params,
-		held:   make(map[string]map[Node]consent),
-		given:  make(map[string]map[Node]grant),
-		used:   make(map[string]time.Time),
-		ceded:  make(map[string]time.Time),
+		params:      params,
+		consents:    make(map[string]map[Node]consent),
+		grants:      make(map[string]map[Node]grant),
+		lastUse:     make(map[string]time.Time),
+		lastRelease: make(map[string]time.Time),
 	}
 }
 
@@ -127,47 +127,47 @@
 // MayUse reports whether this node may send to the replica now. settle is the
 // longest time that one request takes there.
 func (c *Claims) MayUse(now time.Time, replica string, order Ranking, settle time.Duration) bool {
-	if !c.vacant(now, replica, order.Higher, settle) {
+	if !c.higherStopped(now, replica, order.Higher, settle) {
 		return false
 	}
 	// Promises to nodes that are gone by now are left.
-	if c.promised(now, replica, func(n Node) bool { return isAbove(order, n) }) {
+	if c.hasOtherGrant(now, replica, func(n Node) bool { return ranksHigher(order, n) }) {
 		return false
 	}
 	if len(c.MissingConsents(now, replica, order, settle)) > 0 {
 		return false
 	}
-	c.used[replica] = now
+	c.lastUse[replica] = now
 	return true
 }
 
-// vacant reports whether every node ranked above has stopped using the replica.
-func (c *Claims) vacant(now time.Time, replica string, above []Candidate, settle time.Duration) bool {
+// higherStopped reports whether every node ranked above has stopped using the replica.
+func (c *Claims) higherStopped(now time.Time, replica string, above []Candidate, settle time.Duration) bool {
 	for _, rival := range above {
 		if rival.LeavingFor > 0 && rival.LeavingFor >= settle {
 			continue
 		}
-		grant, granted := c.given[replica][rival.Node]
-		if !granted || now.Before(grant.lapses) || now.Sub(grant.asked) < c.params.Lease {
+		grant, granted := c.grants[replica][rival.Node]
+		if !granted || now.Before(grant.expires) || now.Sub(grant.lastRequest) < c.params.Lease {
 			return false
 		}
 	}
 	return true
 }
 
-// promised reports whether this node's consent to some other node than the given
+// hasOtherGrant reports whether this node's consent to some other node than the given
 // ones still holds.
-func (c *Claims) promised(now time.Time, replica string, except func(Node) bool) bool {
-	for node, g := range c.given[replica] {
-		if now.Before(g.lapses) && !except(node) {
+func (c *Claims) hasOtherGrant(now time.Time, replica string, except func(Node) bool) bool {
+	for node, g := range c.grants[replica] {
+		if now.Before(g.expires) && !except(node) {
 			return true
 		}
 	}
 	return false
 }
 
-// isAbove reports whether a node ranks above this one.
-func isAbove(order Ranking, node Node) bool {
+// ranksHigher reports whether a node ranks above this one.
+func ranksHigher(order Ranking, node Node) bool {
 	for _, rival := range order.Higher {
 		if rival.Node == node {
 			return true
@@ -181,7 +181,7 @@
 func (c *Claims) granters(replica string, order Ranking) []Node {
 	var nodes []Node
 	for i, rival := range order.Lower {
-		_, asked := c.held[replica][rival.Node]
+		_, asked := c.consents[replica][rival.Node]
 		if i < c.params.MaxGranters || asked {
 			nodes = append(nodes, rival.Node)
 		}
@@ -193,16 +193,16 @@
 // the replica. Send the question after this call, and report grants with the
 // time of this call.
 func (c *Claims) BeginClaim(now time.Time, replica string, order Ranking, settle time.Duration) []Node {
-	if !c.vacant(now, replica, order.Higher, settle) {
+	if !c.higherStopped(now, replica, order.Higher, settle) {
 		return nil
 	}
 	asked := c.granters(replica, order)
-	if c.held[replica] == nil {
-		c.held[replica] = make(map[Node]consent)
+	if c.consents[replica] == nil {
+		c.consents[replica] = make(map[Node]consent)
 	}
-	held := c.held[replica]
+	held := c.consents[replica]
 	for _, node := range asked {
-		held[node] = consent{until: held[node].until, asked: c.round}
+		held[node] = consent{expires: held[node].expires, requestRound: c.round}
 	}
 	return asked
 }
@@ -210,12 +210,12 @@
 // MissingConsents returns the nodes whose consent this node lacks for a replica whose
 // turn it is to use: while there are any, the replica rests.
 func (c *Claims) MissingConsents(now time.Time, replica string, order Ranking, settle time.Duration) []Node {
-	if !c.vacant(now, replica, order.Higher, settle) {
+	if !c.higherStopped(now, replica, order.Higher, settle) {
 		return nil
 	}
 	var missing []Node
 	for _, granter := range c.granters(replica, order) {
-		if !now.Before(c.held[replica][granter].until) {
+		if !now.Before(c.consents[replica][granter].expires) {
 			missing = append(missing, granter)
 		}
 	}
@@ -226,12 +226,12 @@
 // to a claim that was given back since comes too late: the granter may have
 // consented to another node on the release.
 func (c *Claims) RecordGrant(sent time.Time, replica string, by Node) {
-	if !sent.After(c.ceded[replica]) {
+	if !sent.After(c.lastRelease[replica]) {
 		return
 	}
 	until := sent.Add(c.params.Lease)
-	if known, asked := c.held[replica][by]; asked && until.After(known.until) {
-		c.held[replica][by] = consent{until: until, asked: known.asked}
+	if known, asked := c.consents[replica][by]; asked && until.After(known.expires) {
+		c.consents[replica][by] = consent{expires: until, requestRound: known.requestRound}
 	}
 }
 
@@ -241,57 +241,57 @@
 // Consent goes to one claimant at a time: two newcomers that do not know each
 // other both ask the nodes that were there before them.
 func (c *Claims) Grant(now time.Time, claim Claim, order Ranking, inFlight int, settle time.Duration) bool {
-	c.prune(now, claim.Replica, order)
-	known, ok := c.given[claim.Replica][claim.Claimant]
-	if claim.Round <= known.released && claim.Round > 0 {
+	c.pruneGrants(now, claim.Replica, order)
+	known, ok := c.grants[claim.Replica][claim.Claimant]
+	if claim.Round <= known.releasedRound && claim.Round > 0 {
 		// It was sent before the release and overtaken by it.
 		return false
 	}
 	if ok {
-		known.asked = now
-		c.given[claim.Replica][claim.Claimant] = known
+		known.lastRequest = now
+		c.grants[claim.Replica][claim.Claimant] = known
 	}
 	if !c.stopped(now, claim.Replica, inFlight) {
 		return false
 	}
-	if !isAbove(order, claim.Claimant) || c.promised(now, claim.Replica, func(n Node) bool { return n == claim.Claimant }) {
+	if !ranksHigher(order, claim.Claimant) || c.hasOtherGrant(now, claim.Replica, func(n Node) bool { return n == claim.Claimant }) {
 		return false
 	}
-	known.lapses = now.Add(c.params.Lease + c.params.Margin + settle)
-	known.asked = now
-	known.round = max(known.round, claim.Round)
-	c.give(claim, known)
+	known.expires = now.Add(c.params.Lease + c.params.Margin + settle)
+	known.lastRequest = now
+	known.grantedRound = max(known.grantedRound, claim.Round)
+	c.storeGrant(claim, known)
 	return true
 }
 
-// give notes a grant.
-func (c *Claims) give(claim Claim, g grant) {
-	if c.given[claim.Replica] == nil {
-		c.given[claim.Replica] = make(map[Node]grant)
+// storeGrant notes a grant.
+func (c *Claims) storeGrant(claim Claim, g grant) {
+	if c.grants[claim.Replica] == nil {
+		c.grants[claim.Replica] = make(map[Node]grant)
 	}
-	c.given[claim.Replica][claim.Claimant] = g
+	c.grants[claim.Replica][claim.Claimant] = g
 }
 
 // stopped reports whether nothing of this node runs or can still start at a
 // replica: no request is in flight, and the last permission to send one is older
 // than the time between a permission and its send.
 func (c *Claims) stopped(now time.Time, replica string, inFlight int) bool {
-	return inFlight == 0 && now.Sub(c.used[replica]) >= c.params.Margin
+	return inFlight == 0 && now.Sub(c.lastUse[replica]) >= c.params.Margin
 }
 
 // Reset drops all claims and grants: the node goes on as a new boot, and others
 // may hold what the old one held. What it uses stays known, so that it consents to
 // nobody while its own last request may be running.
 func (c *Claims) Reset() {
-	c.held = make(map[string]map[Node]consent)
-	c.given = make(map[string]map[Node]grant)
+	c.consents = make(map[string]map[Node]consent)
+	c.grants = make(map[string]map[Node]grant)
 }
 
-// prune drops lapsed grants to nodes that are no rivals any more.
-func (c *Claims) prune(now time.Time, replica string, order Ranking) {
-	for node, g := range c.given[replica] {
-		if !isAbove(order, node) && !now.Before(g.lapses) {
-			delete(c.given[replica], node)
+// pruneGrants drops lapsed grants to nodes that are no rivals any more.
+func (c *Claims) pruneGrants(now time.Time, replica string, order Ranking) {
+	for node, g := range c.grants[replica] {
+		if !ranksHigher(order, node) && !now.Before(g.expires) {
+			delete(c.grants[replica], node)
 		}
 	}
 }
@@ -300,11 +300,11 @@
 // have to lapse: if the confirmation is wrong, because the platform answered
 // from the past, the node may be sending.
 func (c *Claims) Forget(now time.Time, node Node) {
-	for _, held := range c.held {
+	for _, held := range c.consents {
 		delete(held, node)
 	}
-	for _, given := range c.given {
-		if g, ok := given[node]; ok && !now.Before(g.lapses) {
+	for _, given := range c.grants {
+		if g, ok := given[node]; ok && !now.Before(g.expires) {
 			delete(given, node)
 		}
 	}
--- a/policy/ownership/claims_test.go
+++ b/policy/ownership/claims_test.go
@@ -14,48 +14,48 @@
 
 const (
 	cold = "cold-replica"
-	// settle is longer than the margin: a request that a release overlooks goes on
+	// maxRequestTime is longer than the margin: a request that a release overlooks goes on
 	// after it.
-	settle = 2500 * time.Millisecond
+	maxRequestTime = 2500 * time.Millisecond
 )
 
-// variant breaks the policy on purpose.
-type variant struct {
-	// deadIsGone gives away the place of a node that merely does not answer.
-	deadIsGone bool
+// brokenVariant breaks the policy on purpose.
+type brokenVariant struct {
+	// deadCountsAsGone gives away the place of a node that merely does not answer.
+	deadCountsAsGone bool
 	// leaseFromAnswer counts a lease from the answer, not from the question.
 	leaseFromAnswer bool
-	// slowClock has a claimant believe in its lease for so much longer.
-	slowClock time.Duration
+	// clockLag has a claimant believe in its lease for so much longer.
+	clockLag time.Duration
 	// params, if set, replace the defaults.
 	params *ClaimParams
-	// releaseBusy gives consents back while a request is in flight, releaseEarly
+	// releaseInFlight gives consents back while a request is in flight, releaseBeforeSend
 	// while one may still start.
-	releaseBusy, releaseEarly bool
-	// releaseAll has a release end newer grants too.
-	releaseAll bool
-	// lateAnswers count although the claim was given back.
-	lateAnswers bool
+	releaseInFlight, releaseBeforeSend bool
+	// releaseEndsAnyGrant has a release end newer grants too.
+	releaseEndsAnyGrant bool
+	// acceptLateAnswers count although the claim was given back.
+	acceptLateAnswers bool
 }
 
-// span is the time that one request takes at the replica.
-type span struct{ from, to time.Time }
+// requestSpan is the time that one request takes at the replica.
+type requestSpan struct{ from, to time.Time }
 
 // rival is a node of the model. Each has its own idea of the others, which may
 // be wrong in any way but one: a node is called gone only when it is.
-type rivalNode struct {
+type modelNode struct {
 	Node
 	claims  *Claims
 	running bool
 	leaving bool
-	// knows are the nodes not confirmed gone, self included.
-	knows  map[Node]bool
-	dead   map[Node]bool
-	leaves map[Node]time.Time
-	spans  []span
+	// members are the nodes not confirmed gone, self included.
+	members      map[Node]bool
+	dead         map[Node]bool
+	leavingSince map[Node]time.Time
+	spans        []requestSpan
 }
 
-func (n *rivalNode) inFlight(now time.Time) int {
+func (n *modelNode) inFlight(now time.Time) int {
 	count := 0
 	for _, s := range n.spans {
 		if !now.Before(s.from) && now.Before(s.to) {
@@ -66,7 +66,7 @@
 }
 
 type message struct {
-	from, to *rivalNode
+	from, to *modelNode
 	sent     time.Time
 	round    uint64
 	release  bool
@@ -74,50 +74,50 @@
 	granted  bool
 }
 
-type claimWorld struct {
-	variant
+type claimModel struct {
+	brokenVariant
 	now      time.Time
-	nodes    []*rivalNode
+	nodes    []*modelNode
 	messages []message
 	boots    uint64
-	// user sent last; moves counts sends by another node than the last one.
-	user  *rivalNode
-	moves int
+	// lastUser sent last; moves counts sends by another node than the last one.
+	lastUser  *modelNode
+	handovers int
 	// releases counts consents given back.
 	releases int
 }
 
-func (w *claimWorld) params() ClaimParams {
-	if w.variant.params != nil {
-		return *w.variant.params
+func (w *claimModel) params() ClaimParams {
+	if w.brokenVariant.params != nil {
+		return *w.brokenVariant.params
 	}
 	return DefaultClaimParams()
 }
 
 // join starts a boot that knows everyone who runs now. The others learn of it
 // later, by a message or by gossip.
-func (w *claimWorld) join(name string) {
+func (w *claimModel) join(name string) {
 	w.boots++
-	n := &rivalNode{
-		Node:    Node{Name: name, Boot: w.boots},
-		claims:  NewClaims(w.params()),
-		running: true,
-		knows:   make(map[Node]bool),
-		dead:    make(map[Node]bool),
-		leaves:  make(map[Node]time.Time),
+	n := &modelNode{
+		Node:         Node{Name: name, Boot: w.boots},
+		claims:       NewClaims(w.params()),
+		running:      true,
+		members:      make(map[Node]bool),
+		dead:         make(map[Node]bool),
+		leavingSince: make(map[Node]time.Time),
 	}
 	for _, other := range w.nodes {
 		if other.running {
-			n.knows[other.Node] = true
+			n.members[other.Node] = true
 		}
 	}
-	n.knows[n.Node] = true
+	n.members[n.Node] = true
 	w.nodes = append(w.nodes, n)
 }
 
-func (w *claimWorld) order(n *rivalNode) Ranking {
+func (w *claimModel) order(n *modelNode) Ranking {
 	var names []string
-	for other := range n.knows {
+	for other := range n.members {
 		names = append(names, other.Name)
 	}
 	var order Ranking
@@ -132,14 +132,14 @@
 			continue
 		}
 		for _, other := range w.nodes {
-			if other.Name != name || !n.knows[other.Node] {
+			if other.Name != name || !n.members[other.Node] {
 				continue
 			}
-			if w.deadIsGone && n.dead[other.Node] {
+			if w.deadCountsAsGone && n.dead[other.Node] {
 				continue
 			}
 			r := Candidate{Node: other.Node}
-			if since, ok := n.leaves[other.Node]; ok {
+			if since, ok := n.leavingSince[other.Node]; ok {
 				r.LeavingFor = w.now.Sub(since)
 			}
 			*list = append(*list, r)
@@ -148,27 +148,27 @@
 	return order
 }
 
-func (w *claimWorld) ask(n *rivalNode) {
+func (w *claimModel) ask(n *modelNode) {
 	round := n.claims.NextRound()
-	w.send(n, n.claims.BeginClaim(w.now, cold, w.order(n), settle), message{sent: w.now, round: round})
+	w.send(n, n.claims.BeginClaim(w.now, cold, w.order(n), maxRequestTime), message{sent: w.now, round: round})
 }
 
 // release gives consents back.
-func (w *claimWorld) release(n *rivalNode) {
+func (w *claimModel) release(n *modelNode) {
 	inFlight := n.inFlight(w.now)
-	if w.releaseBusy {
+	if w.releaseInFlight {
 		inFlight = 0
 	}
-	if w.releaseEarly {
-		delete(n.claims.used, cold)
+	if w.releaseBeforeSend {
+		delete(n.claims.lastUse, cold)
 	}
 	round := n.claims.NextRound()
-	nodes := n.claims.Release(w.now, cold, w.order(n), inFlight, settle)
+	nodes := n.claims.Release(w.now, cold, w.order(n), inFlight, maxRequestTime)
 	w.send(n, nodes, message{sent: w.now, round: round, release: true})
 	w.releases += len(nodes)
 }
 
-func (w *claimWorld) send(n *rivalNode, to []Node, m message) {
+func (w *claimModel) send(n *modelNode, to []Node, m message) {
 	for _, other := range w.nodes {
 		if slices.Contains(to, other.Node) {
 			m.from, m.to = n, other
@@ -177,7 +177,7 @@
 	}
 }
 
-func (w *claimWorld) deliver(m message) {
+func (w *claimModel) deliver(m message) {
 	if !m.to.running {
 		return
 	}
@@ -188,16 +188,16 @@
 		m.to.claims.RecordRelease(cold, m.from.Node, m.round)
 		return
 	case m.release:
-		if w.releaseAll {
+		if w.releaseEndsAnyGrant {
 			claim.Round = math.MaxUint64
 		}
 		m.to.claims.EndGrant(w.now, claim, w.order(m.to))
 		w.messages = append(w.messages, answer)
 		return
 	case m.answer:
-		sent := m.sent.Add(w.slowClock)
-		if w.lateAnswers {
-			delete(m.to.claims.ceded, cold)
+		sent := m.sent.Add(w.clockLag)
+		if w.acceptLateAnswers {
+			delete(m.to.claims.lastRelease, cold)
 		}
 		if w.leaseFromAnswer {
 			sent = w.now
@@ -207,19 +207,19 @@
 		}
 		return
 	}
-	m.to.knows[m.from.Node] = true
-	answer.granted = m.to.claims.Grant(w.now, claim, w.order(m.to), m.to.inFlight(w.now), settle)
+	m.to.members[m.from.Node] = true
+	answer.granted = m.to.claims.Grant(w.now, claim, w.order(m.to), m.to.inFlight(w.now), maxRequestTime)
 	w.messages = append(w.messages, answer)
 }
 
 // use sends a request if the policy lets it, after a gap between the permission
 // and the send, and holds the promise: no other node has one at the replica. Its
 // deadline runs from the permission.
-func (w *claimWorld) use(t *rapid.T, n *rivalNode, gap, takes time.Duration) {
-	if n.leaving || !n.claims.MayUse(w.now, cold, w.order(n), settle) {
+func (w *claimModel) use(t *rapid.T, n *modelNode, gap, takes time.Duration) {
+	if n.leaving || !n.claims.MayUse(w.now, cold, w.order(n), maxRequestTime) {
 		return
 	}
-	s := span{from: w.now.Add(gap), to: w.now.Add(takes)}
+	s := requestSpan{from: w.now.Add(gap), to: w.now.Add(takes)}
 	for _, other := range w.nodes {
 		for _, o := range other.spans {
 			if other != n && other.running && o.from.Before(s.to) && s.from.Before(o.to) {
@@ -229,15 +229,15 @@
 		}
 	}
 	n.spans = append(n.spans, s)
-	if w.user != n {
-		w.user = n
-		w.moves++
+	if w.lastUser != n {
+		w.lastUser = n
+		w.handovers++
 	}
 }
 
 // round is the quiet case: a node asks and all answers come at once, or, when
 // late, are still on their way.
-func (w *claimWorld) round(n *rivalNode, answersLate bool) {
+func (w *claimModel) round(n *modelNode, answersLate bool) {
 	late := w.messages
 	w.messages = nil
 	w.ask(n)
@@ -253,23 +253,23 @@
 	w.messages = late
 }
 
-// claimsLife lets nodes claim, use, die, leave, join and misjudge one another in
+// claimProperty lets nodes claim, use, die, leave, join and misjudge one another in
 // any order, with messages lost, late and crossed.
-func claimsLife(v variant, moves, releases *int) func(*rapid.T) {
+func claimProperty(v brokenVariant, moves, releases *int) func(*rapid.T) {
 	return func(t *rapid.T) {
-		w := &claimWorld{variant: v, now: time.Unix(1000, 0)}
+		w := &claimModel{brokenVariant: v, now: time.Unix(1000, 0)}
 		for i := range rapid.SampledFrom([]int{2, 2, 3, 4}).Draw(t, "nodes") {
 			w.join(fmt.Sprint("n", i))
 		}
 		for _, n := range w.nodes {
 			for _, other := range w.nodes {
-				n.knows[other.Node] = true
+				n.members[other.Node] = true
 			}
 		}
-		pick := func(t *rapid.T) *rivalNode {
+		pick := func(t *rapid.T) *modelNode {
 			return w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")]
 		}
-		running := func(do func(*rapid.T, *rivalNode)) func(*rapid.T) {
+		running := func(do func(*rapid.T, *modelNode)) func(*rapid.T) {
 			return func(t *rapid.T) {
 				if n := pick(t); n.running {
 					do(t, n)
@@ -287,33 +287,33 @@
 			}
 			w.deliver(m)
 		}
-		use := running(func(t *rapid.T, n *rivalNode) {
+		use := running(func(t *rapid.T, n *modelNode) {
 			gap := time.Duration(rapid.SampledFrom([]int{0, 0, 300}).Draw(t, "gap ms")) * time.Millisecond
 			takes := time.Duration(rapid.SampledFrom([]int{10, 400, 2500}).Draw(t, "takes ms")) * time.Millisecond
 			w.use(t, n, min(gap, takes), takes)
 		})
-		release := running(func(_ *rapid.T, n *rivalNode) { w.release(n) })
-		round := running(func(t *rapid.T, n *rivalNode) {
+		release := running(func(_ *rapid.T, n *modelNode) { w.release(n) })
+		round := running(func(t *rapid.T, n *modelNode) {
 			w.round(n, rapid.IntRange(0, 3).Draw(t, "answers late") == 0)
 		})
-		learn := running(func(t *rapid.T, n *rivalNode) {
+		learn := running(func(t *rapid.T, n *modelNode) {
 			other := pick(t)
 			switch {
 			case !other.running:
-				delete(n.knows, other.Node)
+				delete(n.members, other.Node)
 				n.claims.Forget(w.now, other.Node)
 			case other.leaving && other != n:
-				if _, ok := n.leaves[other.Node]; !ok {
-					n.leaves[other.Node] = w.now
+				if _, ok := n.leavingSince[other.Node]; !ok {
+					n.leavingSince[other.Node] = w.now
 				}
 			case other.running:
-				n.knows[other.Node] = true
+				n.members[other.Node] = true
 			}
 		})
 		actions := map[string]func(*rapid.T){
 			"round1":   round,
 			"round2":   round,
-			"ask":      running(func(_ *rapid.T, n *rivalNode) { w.ask(n) }),
+			"ask":      running(func(_ *rapid.T, n *modelNode) { w.ask(n) }),
 			"deliver1": deliver,
 			"deliver2": deliver,
 			"deliver3": deliver,
@@ -324,16 +324,16 @@
 			"pass": func(t *rapid.T) {
 				w.now = w.now.Add(time.Duration(rapid.SampledFrom([]int{50, 300, 1000, 2000, 6000}).Draw(t, "ms")) * time.Millisecond)
 			},
-			"misjudge": running(func(t *rapid.T, n *rivalNode) {
+			"misjudge": running(func(t *rapid.T, n *modelNode) {
 				other := pick(t)
 				n.dead[other.Node] = !n.dead[other.Node]
 			}),
-			"die": running(func(t *rapid.T, n *rivalNode) {
+			"die": running(func(t *rapid.T, n *modelNode) {
 				if rapid.IntRange(0, 15).Draw(t, "die") == 0 {
 					n.running = false
 				}
 			}),
-			"leave": running(func(t *rapid.T, n *rivalNode) {
+			"leave": running(func(t *rapid.T, n *modelNode) {
 				if rapid.IntRange(0, 15).Draw(t, "leave") == 0 {
 					n.leaving = true
 				}
@@ -346,13 +346,13 @@
 				}
 			},
 			// A node gives way to a newcomer that is gone as soon as it has heard of it.
-			"visit": running(func(t *rapid.T, n *rivalNode) {
+			"visit": running(func(t *rapid.T, n *modelNode) {
 				w.boots++
-				visitor := &rivalNode{Node: Node{Name: fmt.Sprint("v", w.boots), Boot: w.boots}}
+				visitor := &modelNode{Node: Node{Name: fmt.Sprint("v", w.boots), Boot: w.boots}}
 				w.nodes = append(w.nodes, visitor)
-				n.knows[visitor.Node] = true
+				n.members[visitor.Node] = true
 				w.release(n)
-				delete(n.knows, visitor.Node)
+				delete(n.members, visitor.Node)
 				n.claims.Forget(w.now, visitor.Node)
 				w.nodes = w.nodes[:len(w.nodes)-1]
 			}),
@@ -364,7 +364,7 @@
 			}
 		}
 		t.Repeat(actions)
-		*moves += w.moves
+		*moves += w.handovers
 		*releases += w.releases
 	}
 }
@@ -377,7 +377,7 @@
 //	go test ./policy/ownership -run ByOneNodeAtATime -rapid.checks=200000 -rapid.seed=$RANDOM
 func TestColdReplicaIsUsedByOneNodeAtATime(t *testing.T) {
 	moves, releases := 0, 0
-	rapid.Check(t, claimsLife(variant{}, &moves, &releases))
+	rapid.Check(t, claimProperty(brokenVariant{}, &moves, &releases))
 	t.Logf("the right moved %d times, %d consents were given back", moves, releases)
 	if moves < 1000 || releases < 1000 {
 		t.Fatal("the right hardly moved: the check checks little")
@@ -385,20 +385,20 @@
 }
 
 func TestColdReplicaCheckCatchesBrokenVariants(t *testing.T) {
-	variants := map[string]variant{
-		"a dead node counts as gone":        {deadIsGone: true},
+	variants := map[string]brokenVariant{
+		"a dead node counts as gone":        {deadCountsAsGone: true},
 		"a lease counts from the answer":    {leaseFromAnswer: true},
-		"the claimant's clock runs slowly":  {slowClock: 4 * time.Second},
-		"released with a request in flight": {releaseBusy: true},
-		"released before a request starts":  {releaseEarly: true},
-		"a release ends a newer grant":      {releaseAll: true},
-		"an answer counts after a release":  {lateAnswers: true},
+		"the claimant's clock runs slowly":  {clockLag: 4 * time.Second},
+		"released with a request in flight": {releaseInFlight: true},
+		"released before a request starts":  {releaseBeforeSend: true},
+		"a release ends a newer grant":      {releaseEndsAnyGrant: true},
+		"an answer counts after a release":  {acceptLateAnswers: true},
 		"nobody is asked":                   {params: &ClaimParams{Lease: 2 * time.Second, Margin: time.Second}},
 	}
 	for name, broken := range variants {
 		t.Run(name, func(t *testing.T) {
 			moves, releases := 0, 0
-			modeltest.Caught(t, "", claimsLife(broken, &moves, &releases))
+			modeltest.Caught(t, "", claimProperty(broken, &moves, &releases))
 		})
 	}
 }
--- a/policy/ownership/groups.go
+++ b/policy/ownership/groups.go
@@ -25,7 +25,7 @@
 	groups := make([][]string, count)
 	room := (len(members) + count - 1) / count
 	for _, name := range Rank("groups", members) {
-		g := firstWithRoom(name, groups, room)
+		g := preferredGroup(name, groups, room)
 		groups[g] = append(groups[g], name)
 	}
 	for _, g := range groups {
@@ -34,9 +34,9 @@
 	return groups
 }
 
-// firstWithRoom returns the group that name ranks highest among those with
+// preferredGroup returns the group that name ranks highest among those with
 // fewer members than room.
-func firstWithRoom(name string, groups [][]string, room int) int {
+func preferredGroup(name string, groups [][]string, room int) int {
 	best, bestScore := -1, uint64(0)
 	for g := range groups {
 		if len(groups[g]) >= room {
--- a/policy/ownership/release.go
+++ b/policy/ownership/release.go
@@ -13,27 +13,27 @@
 // does not matter whether the release arrives. Send it with the number of a round
 // of its own, again in each round until Released notes an answer.
 func (c *Claims) Release(now time.Time, replica string, order Ranking, inFlight int, settle time.Duration) []Node {
-	if c.vacant(now, replica, order.Higher, settle) || !c.stopped(now, replica, inFlight) {
+	if c.higherStopped(now, replica, order.Higher, settle) || !c.stopped(now, replica, inFlight) {
 		return nil
 	}
 	var nodes []Node
-	for node, held := range c.held[replica] {
-		if held.asked == 0 {
+	for node, held := range c.consents[replica] {
+		if held.requestRound == 0 {
 			continue
 		}
-		c.held[replica][node] = consent{asked: held.asked}
+		c.consents[replica][node] = consent{requestRound: held.requestRound}
 		nodes = append(nodes, node)
 	}
 	if len(nodes) > 0 {
-		c.ceded[replica] = now
+		c.lastRelease[replica] = now
 	}
 	return nodes
 }
 
 // RecordRelease notes that a node has answered the release of a round.
 func (c *Claims) RecordRelease(replica string, by Node, round uint64) {
-	if held, ok := c.held[replica][by]; ok && held.asked < round {
-		c.held[replica][by] = consent{until: held.until}
+	if held, ok := c.consents[replica][by]; ok && held.requestRound < round {
+		c.consents[replica][by] = consent{expires: held.expires}
 	}
 }
 
@@ -46,13 +46,13 @@
 // The entry stays, lapsed: the claimant has asked this node, so it needs a new
 // consent before it uses the replica again.
 func (c *Claims) EndGrant(now time.Time, release Claim, order Ranking) {
-	known, ok := c.given[release.Replica][release.Claimant]
-	if release.Round <= known.round || !ok && !isAbove(order, release.Claimant) {
+	known, ok := c.grants[release.Replica][release.Claimant]
+	if release.Round <= known.grantedRound || !ok && !ranksHigher(order, release.Claimant) {
 		return
 	}
-	known.released = max(known.released, release.Round)
-	if now.Before(known.lapses) {
-		known.lapses = now
+	known.releasedRound = max(known.releasedRound, release.Round)
+	if now.Before(known.expires) {
+		known.expires = now
 	}
-	c.give(release, known)
+	c.storeGrant(release, known)
 }
