--- a/policy/membership/apply.go
+++ b/policy/membership/apply.go
@@ -7,23 +7,23 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// Outcome is what Apply made of a change.
+// Outcome is the result of Apply.
 type Outcome int
 
 const (
-	// Ignored is older than what is known, or of no use.
+	// Ignored means that the change is invalid or does not supersede the record.
 	Ignored Outcome = iota
-	// Applied was taken in and passed on.
+	// Applied means that the record was updated and the change queued for gossip.
 	Applied
-	// Refuted called this node suspected or dead; the node raised its
-	// incarnation and says so.
+	// Refuted means that the change would supersede this node's own entry. The node
+	// set a higher incarnation and queued its entry for gossip.
 	Refuted
-	// DeclaredGone called this boot of this node gone. That is final, so the
-	// node has to Rejoin with a new boot.
+	// DeclaredGone means that the change reported this boot of this node as gone.
+	// That state is final, so the node must call Rejoin with a new boot number.
 	DeclaredGone
 )
 
-// Apply takes in one change that a message carried.
+// Apply applies one change from a message.
 func (t *Table) Apply(now time.Time, change *pb.MemberChange) Outcome {
 	m := fromChange(change)
 	if m.Name == "" || m.State < alive || m.State > gone {
@@ -33,9 +33,10 @@
 		return t.applySelf(m)
 	}
 	if m.Name == t.self.Name && m.State != gone {
-		// Another boot of this VM. Which of the two is the older one shows only
-		// in who answers the pings of others: a VM that was paused until it was
-		// replaced would otherwise condemn its successor on waking.
+		// The change describes another boot of this VM. Boots have no order, so
+		// only the answers to pings of other nodes show which one runs. Without
+		// this case, a VM that resumes after its replacement could mark the
+		// replacement as gone.
 		return Ignored
 	}
 	r := t.records[m.ID()]
@@ -55,16 +56,17 @@
 	if m.State == suspect {
 		t.pingOrder.prioritise(m.ID())
 	}
-	t.setStateAndGossip(now, r, m, "told by a member")
+	t.setStateAndGossip(now, r, m, "reported by a member")
 	return Applied
 }
 
-// applyDead turns news of a death into a suspicion, and has the member pinged.
+// applyDead records a member that is reported as dead as suspect, unless it is
+// leaving, and pings it with priority.
 //
-// When a partition heals, each side hears from the other that its own members
-// are dead. Taken at its word, ownership of every replica would move away and
-// back within a second. Suspected members keep it, and have the suspect timeout
-// to refute.
+// When a partition heals, each side reports the members of the other side as dead.
+// If those reports were applied as they are, ownership of all replicas would move
+// and return within a second. A suspect member keeps its ownership and can refute
+// the report within the suspect timeout.
 func (t *Table) applyDead(now time.Time, r *record, m Member) Outcome {
 	t.pingOrder.prioritise(m.ID())
 	switch r.State {
@@ -79,30 +81,31 @@
 	if m.State == r.State && m.Incarnation == r.Incarnation {
 		return Ignored
 	}
-	t.setStateAndGossip(now, r, m, "called dead by a member")
+	t.setStateAndGossip(now, r, m, "reported dead by a member")
 	return Applied
 }
 
-// supersedes reports whether news replaces what is known of the same boot.
-// Gone is final: nothing may bring back a boot whose rights others took over.
-func supersedes(news, known Member) bool {
+// supersedes reports whether an update replaces the current entry of the same boot.
+// The state gone is final, because other nodes may have acquired the replicas of
+// that boot.
+func supersedes(update, current Member) bool {
 	switch {
-	case known.State == gone:
+	case current.State == gone:
 		return false
-	case news.State == gone:
+	case update.State == gone:
 		return true
-	case news.Incarnation != known.Incarnation:
-		return news.Incarnation > known.Incarnation
+	case update.Incarnation != current.Incarnation:
+		return update.Incarnation > current.Incarnation
 	default:
-		return news.State > known.State
+		return update.State > current.State
 	}
 }
 
-// applySelf answers news about this boot.
+// applySelf applies a change of this boot.
 //
-// A node that was paused or cut off is called dead by others. If it stayed
-// silent it would get no work again although it runs; a higher incarnation,
-// which only the node itself may raise, overrides every older report.
+// Other nodes report a node that was paused or partitioned as dead. Without a
+// refutation the node would receive no work again. A higher incarnation, which only
+// the node itself sets, supersedes all earlier reports.
 func (t *Table) applySelf(m Member) Outcome {
 	switch {
 	case t.self.State == gone:
@@ -110,8 +113,8 @@
 	case m.State == gone:
 		return DeclaredGone
 	case m.Incarnation == math.MaxUint64:
-		// No node gets there by refuting reports; a faulty peer that sent it
-		// would make the next incarnation wrap to 0, and this node look old.
+		// Only a faulty peer sends this incarnation. Incrementing it would wrap
+		// to 0, and other nodes would ignore all further changes of this node.
 		return Ignored
 	case m.Incarnation < t.self.Incarnation:
 		return Ignored
@@ -124,30 +127,31 @@
 	return Refuted
 }
 
-// applyNew adds a boot not known before. A boot that is gone is remembered too:
-// its late news must not make it a member.
+// applyNew adds a record for a new boot. A gone boot is recorded too, so that a late
+// change cannot add it as a member.
 func (t *Table) applyNew(now time.Time, m Member) Outcome {
 	if len(t.records) >= t.params.MaxMembers && !t.evictGone() {
 		return Ignored
 	}
 	r := &record{firstSeen: now}
 	t.records[m.ID()] = r
-	t.setStateAndGossip(now, r, m, "told by a member")
+	t.setStateAndGossip(now, r, m, "reported by a member")
 	if m.State != gone {
 		t.prioritiseIfDuplicate(m)
 	}
 	return Applied
 }
 
-// prioritiseIfDuplicate puts a new boot at the head of the ping order when another boot of
-// the same name is known, so that its answer settles which of them is running.
+// prioritiseIfDuplicate pings a new boot with priority when the table has another boot
+// of the same name. The answer shows which of them is running.
 func (t *Table) prioritiseIfDuplicate(m Member) {
 	if len(t.ByName(m.Name)) > 1 {
 		t.pingOrder.prioritise(m.ID())
 	}
 }
 
-// evictGone drops the boot that has been gone longest. False when there is none.
+// evictGone removes the boot that has been gone longest. It returns false when no
+// boot is gone.
 func (t *Table) evictGone() bool {
 	var oldest *record
 	for _, r := range t.records {
@@ -167,14 +171,15 @@
 	t.queue.remove(id)
 }
 
-// raiseConfigVersion keeps the highest configuration version heard of a member.
+// raiseConfigVersion updates the highest configuration version reported of a member.
 func (t *Table) raiseConfigVersion(r *record, m Member) {
 	if m.ConfigVersion > r.ConfigVersion {
 		r.ConfigVersion = m.ConfigVersion
 	}
 }
 
-// UpdateConfigVersion notes the configuration version that a member sent itself.
+// UpdateConfigVersion records the configuration version that a member reports in
+// its own message. A lower version is ignored.
 func (t *Table) UpdateConfigVersion(id ID, version uint64) {
 	if r := t.records[id]; r != nil && version > r.ConfigVersion {
 		r.ConfigVersion = version
--- a/policy/membership/cost_test.go
+++ b/policy/membership/cost_test.go
@@ -12,19 +12,20 @@
 	"github.com/carobmill/carobmill/policy/bench/bounds"
 )
 
-// costs of the protocol alone, a node.
+// costs are the results of measure, per node where not stated otherwise.
 type costs struct {
-	idleBytes, churnBytes, healBytes float64 // sent and received, a second
+	idleBytes, churnBytes, healBytes  float64 // sent and received, per second
 	largest                           int
 	detect, dead, spread, join, leave time.Duration
-	partitionDetected, healed                time.Duration
-	processor                         float64 // share of a core
+	partitionDetected, healed         time.Duration
+	processor                         float64 // fraction of a core
 	memory                            float64 // bytes
 	wrong                             []string
 	complete                          bool
 }
 
-// measure runs the protocol over count nodes and faults of each kind.
+// measure simulates the protocol with count nodes: idle, a crash with replacement, a
+// leave and a partition.
 func measure(count int, seed uint64) costs {
 	c := costs{complete: true}
 	var before, after runtime.MemStats
@@ -46,52 +47,54 @@
 	s.run(10 * time.Second)
 	c.processor = time.Since(began).Seconds() / 10 / float64(count)
 	c.idleBytes = perNode(10 * time.Second)
-	note := func(d time.Duration, ok bool) time.Duration {
+	recordTime := func(d time.Duration, ok bool) time.Duration {
 		c.complete = c.complete && ok
 		return d
 	}
 
-	victim := s.nodes["10.0.0.3:7000"]
-	victim.running = false
-	c.detect = note(s.runUntil(10*time.Second, func() bool {
-		return s.anyNode(func(n *simNode) bool { return n.stateOf(victim.self) == suspect })
+	crashed := s.nodes["10.0.0.3:7000"]
+	crashed.running = false
+	c.detect = recordTime(s.runUntil(10*time.Second, func() bool {
+		return s.anyNode(func(n *simNode) bool { return n.stateOf(crashed.self) == suspect })
 	}))
-	c.dead = c.detect + note(s.runUntil(10*time.Second, func() bool {
-		return s.anyNode(func(n *simNode) bool { return n.stateOf(victim.self) == dead })
+	c.dead = c.detect + recordTime(s.runUntil(10*time.Second, func() bool {
+		return s.anyNode(func(n *simNode) bool { return n.stateOf(crashed.self) == dead })
 	}))
-	c.spread = c.dead + note(s.runUntil(20*time.Second, func() bool {
-		return s.allNodes(func(n *simNode) bool { return n.stateOf(victim.self) == dead })
+	c.spread = c.dead + recordTime(s.runUntil(20*time.Second, func() bool {
+		return s.allNodes(func(n *simNode) bool { return n.stateOf(crashed.self) == dead })
 	}))
 
 	s.bytes = 0
-	fresh := s.start(3)
-	s.join(fresh, s.nodes["10.0.0.1:7000"])
-	c.join = note(s.runUntil(20*time.Second, func() bool {
-		return s.allNodes(func(n *simNode) bool { return n.stateOf(fresh.self) == alive && n.stateOf(victim.self) == gone })
+	replacement := s.start(3)
+	s.join(replacement, s.nodes["10.0.0.1:7000"])
+	c.join = recordTime(s.runUntil(20*time.Second, func() bool {
+		return s.allNodes(func(n *simNode) bool {
+			return n.stateOf(replacement.self) == alive && n.stateOf(crashed.self) == gone
+		})
 	}))
-	quitter := s.nodes["10.0.0.5:7000"]
-	quitter.Leave()
-	c.leave = note(s.runUntil(20*time.Second, func() bool {
-		return s.allNodes(func(n *simNode) bool { return n.stateOf(quitter.self) == leaving })
+	leaver := s.nodes["10.0.0.5:7000"]
+	leaver.Leave()
+	c.leave = recordTime(s.runUntil(20*time.Second, func() bool {
+		return s.allNodes(func(n *simNode) bool { return n.stateOf(leaver.self) == leaving })
 	}))
 	s.run(time.Minute - c.join - c.leave)
 	c.churnBytes = perNode(time.Minute)
-	quitter.FinishLeave()
+	leaver.FinishLeave()
 	s.run(5 * time.Second)
-	quitter.running = false
+	leaver.running = false
 
-	c.partition(s, note, perNode)
+	c.partition(s, recordTime, perNode)
 	return c
 }
 
-// partition cuts the fleet in two halves for 20 s.
-func (c *costs) partition(s *simulation, note func(time.Duration, bool) time.Duration, perNode func(time.Duration) float64) {
+// partition splits the fleet into two halves for 20 s.
+func (c *costs) partition(s *simulation, recordTime func(time.Duration, bool) time.Duration, perNode func(time.Duration) float64) {
 	side := func(n *simNode) bool { return n.self.DataCentre < "dc-4" }
 	s.partitioned = func(a, b *simNode) bool { return side(a) != side(b) }
-	// across is the share of the pairs of nodes cut apart for which a condition
-	// holds.
-	across := func(fits func(Member) bool) float64 {
-		pairs, fitting := 0, 0
+	// matchingPairs is the fraction of node pairs across the partition for which a
+	// condition holds.
+	matchingPairs := func(match func(Member) bool) float64 {
+		pairs, matching := 0, 0
 		for _, n := range s.nodes {
 			for _, r := range n.records {
 				other := s.nodes[r.PeerAddress]
@@ -99,20 +102,20 @@
 					continue
 				}
 				pairs++
-				if fits(r.Member) {
-					fitting++
+				if match(r.Member) {
+					matching++
 				}
 			}
 		}
-		return float64(fitting) / float64(pairs)
+		return float64(matching) / float64(pairs)
 	}
-	lost := func(m Member) bool { return m.State == suspect || m.State == dead }
-	c.partitionDetected = note(s.runUntil(20*time.Second, func() bool { return across(lost) >= 0.99 }))
+	unreachable := func(m Member) bool { return m.State == suspect || m.State == dead }
+	c.partitionDetected = recordTime(s.runUntil(20*time.Second, func() bool { return matchingPairs(unreachable) >= 0.99 }))
 	s.run(20*time.Second - c.partitionDetected)
 	s.partitioned = func(_, _ *simNode) bool { return false }
 	s.bytes = 0
-	c.healed = note(s.runUntil(60*time.Second, func() bool {
-		return across(func(m Member) bool { return m.State == alive }) == 1
+	c.healed = recordTime(s.runUntil(60*time.Second, func() bool {
+		return matchingPairs(func(m Member) bool { return m.State == alive }) == 1
 	}))
 	c.healBytes = perNode(c.healed)
 	s.run(5 * time.Second)
@@ -127,14 +130,15 @@
 }
 
 func (c costs) String() string {
-	return fmt.Sprintf("quiet %.0f B/s, a minute with one restart and one leave %.0f B/s, healing %.0f B/s, largest message %d B\n"+
-		"suspected %v, dead %v, dead everywhere %v, replacement known everywhere %v, leave known everywhere %v\n"+
-		"partition known for 99%% of pairs after %v, healed for all after %v; processor %.4f%%, memory %.0f KB",
+	return fmt.Sprintf("idle %.0f B/s, with a restart and a leave per minute %.0f B/s, after a partition %.0f B/s, largest message %d B\n"+
+		"suspect after %v, dead after %v, dead on all nodes after %v, replaced on all nodes after %v, left on all nodes after %v\n"+
+		"partition detected for 99%% of pairs after %v, healed for all pairs after %v; processor %.4f%%, memory %.0f KB",
 		c.idleBytes, c.churnBytes, c.healBytes, c.largest, c.detect, c.dead, c.spread, c.join, c.leave,
 		c.partitionDetected, c.healed, 100*c.processor, c.memory/1024)
 }
 
-// Bounds of the protocol in virtual time. For 750 nodes see BenchmarkFleet.
+// Guards against excessive traffic and slow failure detection, in virtual time.
+// BenchmarkFleet covers 750 nodes.
 func TestCostOfMembershipIsBounded(t *testing.T) {
 	for _, count := range []int{8, 100} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -154,8 +158,7 @@
 	}
 }
 
-// At the target's size a quiet node sends and receives no more for membership than it
-// did.
+// Guards against an increase of idle membership traffic per node in a large fleet.
 func TestIdleTrafficOfLargeFleetIsBounded(t *testing.T) {
 	const nodes = 750
 	s := newSimulation(nodes, 1)
@@ -167,7 +170,7 @@
 	})
 }
 
-// BenchmarkFleet runs the same faults at each size:
+// BenchmarkFleet simulates the same faults for several fleet sizes:
 //
 //	go test ./policy/membership -run - -bench Fleet -benchtime 1x
 func BenchmarkFleet(b *testing.B) {
--- a/policy/membership/doc.go
+++ b/policy/membership/doc.go
@@ -1,11 +1,12 @@
-// Package membership decides which nodes belong to the fleet, from pings, from
-// the news that messages carry, and from the platform's VM list as a lagging
-// hint. It does no I/O: the node pings the targets that Table names and tells
-// the Table what came of it.
+// Package membership implements the fleet's membership protocol. It determines the
+// state of each node from pings, from gossip in messages, and from the platform's
+// VM list, which lags behind. The package performs no I/O: the caller pings the
+// targets that Table selects and reports the results to the Table.
 //
-// A member is one start of a process: the VM's name and a random boot number.
-// Only the member itself raises its incarnation, so that it can refute news
-// that it is dead. A member that does not answer is suspected, then dead, but a
-// dead member may merely be cut off. It is gone only when it left, when another
-// boot answers in its place, or when the platform no longer lists its VM.
+// A member is one run of a process, identified by the VM's name and a random boot
+// number. Only the member itself increments its incarnation, which refutes reports
+// that it is suspect or dead. A member that does not answer becomes suspect and then
+// dead. A dead member may still be running behind a partition. A member becomes gone
+// only when it announces that it has left, when another boot answers under its name
+// or address, or when it is dead and the platform no longer lists its VM.
 package membership
--- a/policy/membership/fuzz_test.go
+++ b/policy/membership/fuzz_test.go
@@ -12,32 +12,33 @@
 	"github.com/carobmill/carobmill/policy/modeltest"
 )
 
-// brokenVariant is a variant that the check has to catch.
+// brokenVariant selects a fault that the model must detect.
 type brokenVariant struct {
-	// listsLagLong has the platform's list lag longer than it is taken to.
+	// listsLagLong makes the platform's list lag longer than Params.ListLag.
 	listsLagLong bool
-	// requestsProveLiveness takes a request, late or not, for proof that its sender runs.
+	// requestsProveLiveness treats a request, even a delayed one, like an answer to a
+	// ping.
 	requestsProveLiveness bool
-	// noRefutation has members ignore news about themselves.
+	// noRefutation makes members ignore changes about themselves.
 	noRefutation bool
-	// goneNotRetained drops the memory of boots that are gone at once.
+	// goneNotRetained removes the records of gone boots at once.
 	goneNotRetained bool
 }
 
-// vm is one place in the fleet: a name and an address, where one boot runs.
+// vm is a VM with a fixed name and address, on which at most one boot runs.
 type vm struct {
 	name, address string
-	table         *Table // nil while nothing runs there
+	table         *Table // nil while no process runs
 }
 
-// actualBoot is what really became of a boot.
+// actualBoot is the actual state of a boot.
 type actualBoot struct {
 	table   *Table
 	running bool
 	left    bool
 }
 
-// message is a message under way.
+// message is a message in flight.
 type message struct {
 	from    ID
 	address string
@@ -47,16 +48,16 @@
 
 type fleetModel struct {
 	brokenVariant
-	now    time.Time
-	boots  uint64
-	vms    []*vm
+	now     time.Time
+	boots   uint64
+	vms     []*vm
 	actual  map[ID]*actualBoot
-	delayed   []message
+	delayed []message
 	vmLists []timedVMList
-	gone   map[*Table]map[ID]time.Time
+	gone    map[*Table]map[ID]time.Time
 }
 
-// timedVMList is the true VM list at a time.
+// timedVMList is the actual VM list at a point in time.
 type timedVMList struct {
 	at   time.Time
 	list []ListedVM
@@ -79,7 +80,7 @@
 	return p
 }
 
-// recordVMList keeps the VM list of this moment.
+// recordVMList records the current VM list.
 func (f *fleetModel) recordVMList() {
 	var list []ListedVM
 	for _, v := range f.vms {
@@ -91,31 +92,32 @@
 }
 
 func (f *fleetModel) stop(v *vm, left bool) {
-	truth := f.actual[v.table.Self().ID()]
-	truth.running, truth.left = false, left
+	boot := f.actual[v.table.Self().ID()]
+	boot.running, boot.left = false, left
 	v.table = nil
 	f.recordVMList()
 }
 
-// applyAll has the node at a VM receive changes.
+// applyAll applies changes to the table of a VM.
 func (f *fleetModel) applyAll(t *rapid.T, v *vm, changes []*pb.MemberChange) {
 	for _, c := range changes {
 		if f.noRefutation && c.GetNode() == v.name {
 			continue
 		}
 		if v.table.Apply(f.now, c) == DeclaredGone {
-			t.Fatalf("GoneIsTrue: %s runs and hears that it is gone", v.name)
+			t.Fatalf("GoneIsTrue: %s is running and is reported as gone", v.name)
 		}
 	}
 }
 
-func (f *fleetModel) changesFor(from *Table, about ID) []*pb.MemberChange {
+// changesFor returns the changes that a message to a receiver carries.
+func (f *fleetModel) changesFor(from *Table, receiver ID) []*pb.MemberChange {
 	changes := append(from.Changes(), from.Self().Change())
 	if len(changes) > from.params.MaxChanges+1 {
 		panic("a message carries too many changes")
 	}
-	if news := from.NonAliveChange(about); news != nil {
-		changes = append(changes, news)
+	if change := from.NonAliveChange(receiver); change != nil {
+		changes = append(changes, change)
 	}
 	return changes
 }
@@ -141,13 +143,13 @@
 	from.table.PingAnswered(f.now, to.table.Self().ID(), target.PeerAddress)
 }
 
-func (f *fleetModel) receive(t *rapid.T, r message) {
-	if r.to.table == nil {
+func (f *fleetModel) receive(t *rapid.T, m message) {
+	if m.to.table == nil {
 		return
 	}
-	f.applyAll(t, r.to, r.changes)
+	f.applyAll(t, m.to, m.changes)
 	if f.requestsProveLiveness {
-		r.to.table.PingAnswered(f.now, r.from, r.address)
+		m.to.table.PingAnswered(f.now, m.from, m.address)
 	}
 }
 
@@ -168,38 +170,39 @@
 	}
 }
 
-// applyVMList gives a node the VM applyVMList of up to lag ago.
+// applyVMList applies the VM list as it was lag ago to the table of a VM.
 func (f *fleetModel) applyVMList(v *vm, lag time.Duration) {
-	seen := f.vmLists[0]
+	lagging := f.vmLists[0]
 	for _, l := range f.vmLists {
 		if !l.at.After(f.now.Add(-lag)) {
-			seen = l
+			lagging = l
 		}
 	}
-	v.table.ApplyVMList(f.now, seen.list)
+	v.table.ApplyVMList(f.now, lagging.list)
 }
 
-// check holds what must always be true.
+// check verifies the invariants.
 func (f *fleetModel) check(t *rapid.T) {
 	for _, v := range f.vms {
 		if v.table == nil {
 			continue
 		}
 		for id, r := range v.table.records {
-			truth := f.actual[id]
+			boot := f.actual[id]
 			switch {
-			case r.State == gone && truth.running:
-				t.Fatalf("GoneIsTrue: %s counts %v as gone, which runs", v.name, id)
-			case r.Incarnation > truth.table.Self().Incarnation:
-				t.Fatalf("OnlyTheMemberRaisesItsIncarnation: %s has %v at %d", v.name, id, r.Incarnation)
-			case r.State == leaving && truth.table.Self().State < leaving:
-				t.Fatalf("LeavingIsAnnounced: %s counts %v as leaving", v.name, id)
+			case r.State == gone && boot.running:
+				t.Fatalf("GoneIsTrue: %s records %v as gone while it is running", v.name, id)
+			case r.Incarnation > boot.table.Self().Incarnation:
+				t.Fatalf("OnlyTheMemberRaisesItsIncarnation: %s records %v with incarnation %d, above the member's own",
+					v.name, id, r.Incarnation)
+			case r.State == leaving && boot.table.Self().State < leaving:
+				t.Fatalf("LeavingIsAnnounced: %s records %v as leaving, which the member did not announce", v.name, id)
 			}
-			if since, was := f.gone[v.table][id]; was && r.State != gone && f.now.Sub(since) < DefaultParams().GoneRetention {
-				t.Fatalf("GoneIsFinal: %s counts %v as %v again", v.name, id, r.State)
+			if since, wasGone := f.gone[v.table][id]; wasGone && r.State != gone && f.now.Sub(since) < DefaultParams().GoneRetention {
+				t.Fatalf("GoneIsFinal: %s records %v as %v after it was gone", v.name, id, r.State)
 			}
 			if r.State == gone {
-				if _, was := f.gone[v.table][id]; !was {
+				if _, wasGone := f.gone[v.table][id]; !wasGone {
 					f.gone[v.table][id] = f.now
 				}
 			}
@@ -207,15 +210,15 @@
 	}
 }
 
-// checkConvergence ends the faults, lets every node ping every other one a few times, and
-// checks that they agree.
+// checkConvergence lets every node ping every other node several times without
+// faults, and verifies that all tables agree.
 func (f *fleetModel) checkConvergence(t *rapid.T) {
 	for range 5 {
 		for _, v := range f.vms {
 			if v.table == nil {
 				continue
 			}
-			// Seeds: a node always tries every address that it was told at start.
+			// A node retries the seed addresses of its settings indefinitely.
 			for _, other := range f.vms {
 				if other == v || other.table == nil {
 					continue
@@ -234,10 +237,10 @@
 			}
 			m, known := v.table.Lookup(other.table.Self().ID())
 			if !known || m.State != other.table.Self().State {
-				t.Fatalf("EveryoneIsFoundAgain: %s counts %s as %v", v.name, other.name, m.State)
+				t.Fatalf("EveryoneIsFoundAgain: %s records %s as %v", v.name, other.name, m.State)
 			}
 			if boots := v.table.ByName(other.name); len(boots) != 1 {
-				t.Fatalf("OneBootAName: %s knows %v", v.name, boots)
+				t.Fatalf("OneBootAName: %s records the boots %v", v.name, boots)
 			}
 		}
 	}
@@ -247,9 +250,9 @@
 	return func(t *rapid.T) {
 		f := &fleetModel{
 			brokenVariant: b,
-			now:    time.Unix(1000, 0),
-			actual:  make(map[ID]*actualBoot),
-			gone:   make(map[*Table]map[ID]time.Time),
+			now:           time.Unix(1000, 0),
+			actual:        make(map[ID]*actualBoot),
+			gone:          make(map[*Table]map[ID]time.Time),
 		}
 		for i := range rapid.IntRange(2, 4).Draw(t, "nodes") {
 			f.vms = append(f.vms, &vm{name: fmt.Sprint("n", i), address: fmt.Sprint("10.0.0.", i)})
@@ -333,23 +336,22 @@
 	}
 }
 
-// Messages are lost, late and repeated; VMs stop, are replaced and leave; the VM
-// list lags. A node that were wrongly counted as gone would lose what it holds
-// while it uses it, and one that were forgotten would get no work again. A long
-// run with a fresh seed:
+// Guards against a running node that is marked as gone, whose replicas others would
+// use at the same time, and against a node that stays excluded, under lost, delayed
+// and repeated messages, crashes, replacements, leaves and lagging VM lists. Longer
+// run with a new seed:
 //
 //	go test ./policy/membership -run LossAndReplacement -rapid.checks=200000 -rapid.seed=$RANDOM
 func TestMembershipConvergesAfterLossAndReplacement(t *testing.T) {
 	rapid.Check(t, membershipProperty(brokenVariant{}))
 }
 
-// The seed is the one of modeltest.
 func TestMembershipCheckCatchesBrokenVariants(t *testing.T) {
 	for name, b := range map[string]brokenVariant{
-		"lists lag longer than stated": {listsLagLong: true},
-		"late requests condemn":        {requestsProveLiveness: true},
-		"no refutation":                {noRefutation: true},
-		"gone boots are forgotten":     {goneNotRetained: true},
+		"VM lists lag longer than the limit": {listsLagLong: true},
+		"requests count as answers":          {requestsProveLiveness: true},
+		"reports are not refuted":            {noRefutation: true},
+		"gone boots are not retained":        {goneNotRetained: true},
 	} {
 		t.Run(name, func(t *testing.T) { modeltest.Caught(t, "", membershipProperty(b)) })
 	}
--- a/policy/membership/member.go
+++ b/policy/membership/member.go
@@ -6,30 +6,31 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// Member is what is known of one boot of one node.
+// Member describes one boot of one node.
 type Member struct {
-	// Name of the VM, unique in the fleet and stable across restarts.
+	// Name is the VM's name, unique in the fleet and stable across restarts.
 	Name string
-	// Boot is the random number drawn at the start of the process.
+	// Boot is a random number generated at the start of the process.
 	Boot          uint64
 	Incarnation   uint64
 	State         pb.MemberState
 	DataCentre    string
 	PeerAddress   string
 	CallerAddress string
-	// ConfigVersion in force there as last heard; 0 when unknown.
+	// ConfigVersion is the highest version that the member reported as in force,
+	// 0 when unknown.
 	ConfigVersion uint64
-	// Since is when this node learned of the state; zero for its own entry.
+	// Since is when this node recorded the state, zero for its own entry.
 	Since time.Time
 }
 
-// ID names one boot of one node.
+// ID identifies one boot of one node.
 type ID struct {
 	Name string
 	Boot uint64
 }
 
-// less orders by name, then boot.
+// less orders by name, then by boot number.
 func (id ID) less(other ID) bool {
 	if id.Name != other.Name {
 		return id.Name < other.Name
@@ -37,18 +38,17 @@
 	return id.Boot < other.Boot
 }
 
-// ID returns the identity of the member.
+// ID returns the member's name and boot number.
 func (m Member) ID() ID {
 	return ID{m.Name, m.Boot}
 }
 
-// Usable reports whether the member may be given new work: it is alive, or
-// suspected without being known dead.
+// Usable reports whether the member may receive new work: it is alive or suspect.
 func (m Member) Usable() bool {
 	return m.State == pb.MemberState_MEMBER_STATE_ALIVE || m.State == pb.MemberState_MEMBER_STATE_SUSPECT
 }
 
-// Change returns the member as a message.
+// Change converts the member to a message.
 func (m Member) Change() *pb.MemberChange {
 	return &pb.MemberChange{
 		Node:          m.Name,
@@ -62,7 +62,6 @@
 	}
 }
 
-// fromChange reads a message.
 func fromChange(c *pb.MemberChange) Member {
 	return Member{
 		Name:          c.GetNode(),
@@ -76,28 +75,29 @@
 	}
 }
 
-// Params bound the cost of the protocol.
+// Params are the timeouts and limits of the protocol.
 type Params struct {
-	// SuspectTimeout is how long a member stays suspected before it is dead.
+	// SuspectTimeout is how long a member stays suspect before it becomes dead.
 	SuspectTimeout time.Duration
-	// GoneRetention is how long a boot that is gone is remembered, so that late
-	// news of it is known for what it is.
+	// GoneRetention is how long the record of a gone boot is retained. Without the
+	// record, a late change would add the boot as a member again.
 	GoneRetention time.Duration
-	// ListLag is longer than the platform's VM list lags behind.
+	// ListLag is an upper bound of the lag of the platform's VM list.
 	ListLag time.Duration
-	// MaxChanges is the number of changes that one message carries.
+	// MaxChanges is the maximum number of gossiped changes in one message.
 	MaxChanges int
-	// MaxMembers bounds the table. News of members beyond it is dropped.
+	// MaxMembers is the maximum number of records. Changes of further members are
+	// dropped.
 	MaxMembers int
-	// PingSetSize is the number of living members that a node pings in turn, 0 all. The
-	// connections that pings keep open then do not grow with the fleet.
+	// PingSetSize is the number of live members that a node pings in turn, 0 for
+	// all. It bounds the connections that pings keep open in a large fleet.
 	PingSetSize int
 	// RetransmitFactor times the base-10 logarithm of the fleet's size, rounded up,
-	// is how often a node passes on one change.
+	// is the number of messages in which a node sends one change.
 	RetransmitFactor int
 }
 
-// DefaultParams suit fleets from 2 to 1,000 nodes.
+// DefaultParams returns parameters for fleets of 2 to 1,000 nodes.
 func DefaultParams() Params {
 	return Params{
 		SuspectTimeout:   800 * time.Millisecond,
@@ -110,11 +110,11 @@
 	}
 }
 
-// Transition is one change of a member's state that the table took in.
+// Transition is one applied change of a member's state.
 type Transition struct {
 	Member Member
-	// From is MEMBER_STATE_UNSPECIFIED for a member not known before.
+	// From is MEMBER_STATE_UNSPECIFIED for a new member.
 	From pb.MemberState
-	// Cause in a few words, for the ring of decisions.
+	// Cause is a short text for the log of decisions.
 	Cause string
 }
--- a/policy/membership/ping.go
+++ b/policy/membership/ping.go
@@ -8,40 +8,41 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// deadEvery makes each deadEvery-th ping go to a dead member, so that a healed
-// partition is noticed without half of all pings being wasted during one.
+// deadEvery sends every deadEvery-th ping to a dead member, which detects the end
+// of a partition. A higher share would waste pings during the partition.
 const deadEvery = 5
 
-// priorityEvery makes each priorityEvery-th ping go to an urgent member.
+// priorityEvery sends every priorityEvery-th ping to a member with priority.
 const priorityEvery = 3
 
-// pingOrder is the order of pings: each member of the set once a round, in a new random order
-// each round, which bounds the time between two pings of one member.
+// pingOrder is the order of pings. Each round contains every member of the ping set
+// once, in a new random order, which bounds the time between two pings of a member.
 type pingOrder struct {
 	priority []ID
-	living []ID
-	dead   []ID
-	pings  int
+	live     []ID
+	dead     []ID
+	pings    int
 }
 
-// maxPriority bounds the members at the head of the ping order, so that much bad
-// news at once does not become a stampede of pings.
+// maxPriority is the maximum number of members with priority. It prevents a burst
+// of pings after many reports of suspect or dead members.
 const maxPriority = 16
 
-// prioritise puts a member at the head of the ping order.
-func (r *pingOrder) prioritise(id ID) {
-	if len(r.priority) >= maxPriority {
+// prioritise adds a member to those that are pinged with priority.
+func (o *pingOrder) prioritise(id ID) {
+	if len(o.priority) >= maxPriority {
 		return
 	}
-	for _, queued := range r.priority {
+	for _, queued := range o.priority {
 		if queued == id {
 			return
 		}
 	}
-	r.priority = append(r.priority, id)
+	o.priority = append(o.priority, id)
 }
 
-// PrioritisePing has a member pinged next: a call to it failed.
+// PrioritisePing requests a ping of a member with priority, after a call to the
+// member has failed.
 func (t *Table) PrioritisePing(name string) {
 	for _, m := range t.ByName(name) {
 		if m.ID() != t.self.ID() {
@@ -50,65 +51,65 @@
 	}
 }
 
-// HasPriorityPing reports whether the next target was urged.
+// HasPriorityPing reports whether a member is to be pinged with priority.
 func (t *Table) HasPriorityPing() bool {
 	return len(t.pingOrder.priority) > 0
 }
 
 // NextTarget returns the member to ping next, or false when there is none.
 //
-// Most pings go to members in turn even while others are urgent. In a partition
-// all urgent members are cut off, and news travels only with pings that arrive.
+// Most pings go to members in turn, even while others have priority. In a partition
+// all members with priority may be unreachable, and only pings that arrive spread
+// changes.
 func (t *Table) NextTarget() (Member, bool) {
-	r := &t.pingOrder
-	r.pings++
-	if r.pings%priorityEvery == 0 {
-		if m, ok := t.popMatching(&r.priority, Member.pingable); ok {
+	o := &t.pingOrder
+	o.pings++
+	if o.pings%priorityEvery == 0 {
+		if m, ok := t.popMatching(&o.priority, Member.pingable); ok {
 			return m, true
 		}
 	}
-	if r.pings%deadEvery == 0 {
-		if m, ok := t.nextInRound(&r.dead, Member.isDead); ok {
+	if o.pings%deadEvery == 0 {
+		if m, ok := t.nextInRound(&o.dead, Member.isDead); ok {
 			return m, true
 		}
 	}
-	if m, ok := t.nextInPingSet(&r.living); ok {
+	if m, ok := t.nextInPingSet(&o.live); ok {
 		return m, true
 	}
-	return t.nextInRound(&r.dead, Member.isDead)
+	return t.nextInRound(&o.dead, Member.isDead)
 }
 
 func (m Member) pingable() bool { return m.State != gone }
 func (m Member) isDead() bool   { return m.State == dead }
-func (m Member) isLiving() bool { return m.State == alive || m.State == leaving }
+func (m Member) isLive() bool   { return m.State == alive || m.State == leaving }
 
-// nextInRound takes the next fitting member of a round and starts a new round
-// when it is used up.
-func (t *Table) nextInRound(order *[]ID, fits func(Member) bool) (Member, bool) {
-	if m, ok := t.popMatching(order, fits); ok {
+// nextInRound returns the next matching member of a round and starts a new round at
+// the end of the current one.
+func (t *Table) nextInRound(order *[]ID, match func(Member) bool) (Member, bool) {
+	if m, ok := t.popMatching(order, match); ok {
 		return m, true
 	}
-	*order = t.shuffled(fits)
-	return t.popMatching(order, fits)
+	*order = t.shuffled(match)
+	return t.popMatching(order, match)
 }
 
-// nextInPingSet is fromRound for the living members of this node's ping set.
+// nextInPingSet is nextInRound for the live members of this node's ping set.
 func (t *Table) nextInPingSet(order *[]ID) (Member, bool) {
-	if m, ok := t.popMatching(order, Member.isLiving); ok {
+	if m, ok := t.popMatching(order, Member.isLive); ok {
 		return m, true
 	}
-	*order = t.pingSet(t.shuffled(Member.isLiving))
-	return t.popMatching(order, Member.isLiving)
+	*order = t.pingSet(t.shuffled(Member.isLive))
+	return t.popMatching(order, Member.isLive)
 }
 
-// pingSet keeps the members that this node pings, in their order: those with the
-// highest scores for it, PingSet of them.
+// pingSet returns the Params.PingSetSize members with the highest scores for this
+// node, in the order of ids.
 //
-// A node that pinged all members would hold a connection with each of them. In a
-// random subset of this size each member is still pinged by about as many others
-// and as often: with 64 of 750 nobody by fewer than some 40. The choice follows
-// from the names, so that it stays while members come and go, and differs from node
-// to node, so that news crosses the fleet in a few steps.
+// Without a limit, each node would hold a connection to every other node. The scores
+// depend only on names, so a member that joins or leaves replaces at most one member
+// of a set. The scores differ between nodes, so that each member is pinged by many
+// others and changes reach the whole fleet within a few hops.
 func (t *Table) pingSet(ids []ID) []ID {
 	if t.params.PingSetSize <= 0 || len(ids) <= t.params.PingSetSize {
 		return ids
@@ -118,40 +119,40 @@
 		scores[i] = t.score(id)
 	}
 	ranked := slices.Sorted(slices.Values(scores))
-	least := ranked[len(ranked)-t.params.PingSetSize]
-	var chosen []ID
+	threshold := ranked[len(ranked)-t.params.PingSetSize]
+	var selected []ID
 	for i, id := range ids {
-		if scores[i] >= least {
-			chosen = append(chosen, id)
+		if scores[i] >= threshold {
+			selected = append(selected, id)
 		}
 	}
-	return chosen
+	return selected
 }
 
-// score is the weight of a member in this node's ping set. The zero byte keeps
-// the pairs ("ab", "c") and ("a", "bc") apart.
+// score is the weight of a member in this node's ping set. The zero byte
+// distinguishes the pairs ("ab", "c") and ("a", "bc").
 func (t *Table) score(id ID) uint64 {
 	return xxhash.Sum64String(t.self.Name + "\x00" + id.Name)
 }
 
-// popMatching removes members from the head of order until one fits.
-func (t *Table) popMatching(order *[]ID, fits func(Member) bool) (Member, bool) {
+// popMatching removes members from the head of order until one matches.
+func (t *Table) popMatching(order *[]ID, match func(Member) bool) (Member, bool) {
 	for len(*order) > 0 {
 		id := (*order)[0]
 		*order = (*order)[1:]
-		if r := t.records[id]; r != nil && fits(r.Member) {
+		if r := t.records[id]; r != nil && match(r.Member) {
 			return r.Member, true
 		}
 	}
 	return Member{}, false
 }
 
-// shuffled returns the fitting members in a random order that depends only on
-// the table's random numbers.
-func (t *Table) shuffled(fits func(Member) bool) []ID {
+// shuffled returns the matching members in random order. The order is deterministic
+// for a given state of the table's random number generator.
+func (t *Table) shuffled(match func(Member) bool) []ID {
 	var ids []ID
 	for id, r := range t.records {
-		if fits(r.Member) {
+		if match(r.Member) {
 			ids = append(ids, id)
 		}
 	}
@@ -160,9 +161,9 @@
 	return ids
 }
 
-// Helpers returns up to n random living members other than the target, to ping
-// it when it did not answer this node: the path between the two may be broken
-// while the target runs.
+// Helpers returns up to n random alive members other than the target. They ping a
+// target that did not answer this node, because only the path between the two may
+// have failed.
 func (t *Table) Helpers(target ID, n int) []Member {
 	var helpers []Member
 	for _, id := range t.shuffled(func(m Member) bool { return m.State == alive }) {
@@ -176,31 +177,31 @@
 	return helpers
 }
 
-// PingAnswered notes that a boot answered a ping at an address. One process holds
-// a name and an address at a time, so any other boot known there is gone.
+// PingAnswered records that a boot answered a ping at an address. Only one process
+// uses a name and an address at a time, so other boots recorded for either become
+// gone.
 //
-// That this comes from an answer matters: a late request of the older boot, or
-// third-hand news, must never condemn the newer one.
+// Call PingAnswered only for an answer. A request may arrive late, so a request of
+// an older boot would mark the newer one as gone.
 func (t *Table) PingAnswered(now time.Time, id ID, address string) {
-	if known := t.records[id]; known != nil {
-		if known.State == gone {
+	if answering := t.records[id]; answering != nil {
+		if answering.State == gone {
 			return
 		}
-		known.unansweredSince = time.Time{}
+		answering.unansweredSince = time.Time{}
 	}
 	replaced := t.matching(func(r *record) bool {
-		samePlace := r.Name == id.Name || r.PeerAddress == address
-		return samePlace && r.ID() != id && r.State != gone
+		sameEndpoint := r.Name == id.Name || r.PeerAddress == address
+		return sameEndpoint && r.ID() != id && r.State != gone
 	})
 	for _, r := range replaced {
 		m := r.Member
 		m.State = gone
-		t.setStateAndGossip(now, r, m, "another boot answered in its place")
+		t.setStateAndGossip(now, r, m, "another boot answered at its name or address")
 	}
 }
 
-// PingFailed notes that neither this node nor its helpers got an answer from
-// the member.
+// PingFailed records that the member answered neither this node nor the helpers.
 func (t *Table) PingFailed(now time.Time, id ID) {
 	r := t.records[id]
 	switch {
@@ -214,10 +215,10 @@
 	}
 }
 
-// Tick lets members that do not answer die when their time is up, and forgets
-// boots that have been gone for long.
+// Tick marks members as dead that have not answered for Params.SuspectTimeout, and
+// removes boots that have been gone for Params.GoneRetention.
 func (t *Table) Tick(now time.Time) {
-	overdue := t.matching(func(r *record) bool {
+	expired := t.matching(func(r *record) bool {
 		switch r.State {
 		case suspect:
 			return now.Sub(r.Since) >= t.params.SuspectTimeout
@@ -229,25 +230,25 @@
 			return false
 		}
 	})
-	for _, r := range overdue {
+	for _, r := range expired {
 		if r.State == gone {
 			t.remove(r.ID())
 			continue
 		}
-		// Each member that heard of the suspicion counts the time itself, so this
-		// starts no second wave of news.
+		// The change is not gossiped: every member that received the suspect state
+		// applies the timeout itself.
 		m := r.Member
 		m.State = dead
-		t.setState(now, r, m, "no answer for too long")
+		t.setState(now, r, m, "no answer within the suspect timeout")
 	}
 }
 
-// matching returns the records that fit, by identity, so that runs are
-// repeatable. Most calls match few of many records, so only those are sorted.
-func (t *Table) matching(fits func(r *record) bool) []*record {
+// matching returns the matching records, sorted by ID so that runs are repeatable.
+// Only the matching records are sorted, because most calls match few records.
+func (t *Table) matching(match func(r *record) bool) []*record {
 	var records []*record
 	for _, r := range t.records {
-		if fits(r) {
+		if match(r) {
 			records = append(records, r)
 		}
 	}
--- a/policy/membership/pingset_test.go
+++ b/policy/membership/pingset_test.go
@@ -8,9 +8,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A node pings a part of a large fleet. A member that few others pinged would be
-// found dead late; one that nobody pinged never would. Each is pinged by enough
-// others, and one member that goes changes one place in the sets that held it.
+// Guards against members of a large fleet that too few others ping, whose failure
+// would be detected late or never, and against ping sets that change by more than
+// one member when one member leaves.
 func TestPingSetsCoverEveryMember(t *testing.T) {
 	c := qt.New(t)
 	const size = 750
@@ -28,10 +28,10 @@
 		for _, id := range set {
 			pingedBy[id]++
 		}
-		without := slices.DeleteFunc(table.pingSet(others[1:]), func(id ID) bool { return slices.Contains(set, id) })
-		c.Assert(len(without) <= 1, qt.IsTrue)
+		added := slices.DeleteFunc(table.pingSet(others[1:]), func(id ID) bool { return slices.Contains(set, id) })
+		c.Assert(len(added) <= 1, qt.IsTrue)
 	}
 	fewest := pingedBy[slices.MinFunc(ids, func(a, b ID) int { return pingedBy[a] - pingedBy[b] })]
-	t.Logf("each member is pinged by at least %d of %d", fewest, size)
+	t.Logf("each member is pinged by at least %d of %d nodes", fewest, size)
 	c.Assert(fewest >= 35, qt.IsTrue)
 }
--- a/policy/membership/queue.go
+++ b/policy/membership/queue.go
@@ -7,13 +7,13 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// gossipQueue holds the members whose news is still passed on, and how often it was.
+// gossipQueue holds the members whose changes are still gossiped, with the number of
+// messages that have carried each.
 type gossipQueue struct {
 	sendCounts map[ID]int
 }
 
-// add starts passing on the news of a member, from the beginning if it was
-// queued already.
+// add queues a member. The count of a member that is already queued restarts at 0.
 func (q *gossipQueue) add(id ID) {
 	if q.sendCounts == nil {
 		q.sendCounts = make(map[ID]int)
@@ -25,15 +25,15 @@
 	delete(q.sendCounts, id)
 }
 
-// Pending is the number of members whose news is still passed on.
+// Pending returns the number of members whose changes are still gossiped.
 func (t *Table) Pending() int {
 	return len(t.queue.sendCounts)
 }
 
-// Changes returns the news to put on the next message, the least sent first, at
-// most Params.MaxChanges, and counts it as sent. A change is dropped after
-// Retransmit x log10(members) messages: by then it has reached every reachable
-// member with high probability, and the rounds of pings carry what is missing.
+// Changes returns the changes for the next message, least sent first and at most
+// Params.MaxChanges, and counts them as sent. A change is dropped after
+// Params.RetransmitFactor x log10(fleet size) messages. By then it has reached every
+// reachable member with high probability; pings repair the remaining differences.
 func (t *Table) Changes() []*pb.MemberChange {
 	if len(t.queue.sendCounts) == 0 {
 		return nil
@@ -66,14 +66,15 @@
 	return changes
 }
 
-// MarkUnsent takes back that changes were sent, for a message that got no answer.
-// Half of all messages are lost when a partition starts, which is when most
-// news has to be passed on.
+// MarkUnsent decrements the send counts of changes whose message received no answer.
+// Without it, changes would be dropped from the queue before they arrive, because
+// many messages are lost at the start of a partition. A change that has already been
+// dropped is not queued again.
 func (t *Table) MarkUnsent(changes []*pb.MemberChange) {
 	for _, c := range changes {
 		id := ID{c.GetNode(), c.GetBoot()}
-		if sent := t.queue.sendCounts[id]; sent > 0 {
-			t.queue.sendCounts[id] = sent - 1
+		if count := t.queue.sendCounts[id]; count > 0 {
+			t.queue.sendCounts[id] = count - 1
 		}
 	}
 }
@@ -83,8 +84,8 @@
 	return int(math.Ceil(float64(t.params.RetransmitFactor) * math.Log10(n)))
 }
 
-// AllChanges returns the whole table, gone boots included, for a node that joins or a
-// member that was cut off. It is bounded by Params.MaxMembers.
+// AllChanges returns the whole table, gone boots included, for a node that joins and
+// for a member that was partitioned. Params.MaxMembers bounds its size.
 func (t *Table) AllChanges() []*pb.MemberChange {
 	ids := make([]ID, 0, len(t.records))
 	for id := range t.records {
@@ -98,8 +99,8 @@
 	return changes
 }
 
-// NonAliveChange returns the news that a member has to hear of itself: nil unless it is
-// known here as anything but alive, so that it can refute that or rejoin.
+// NonAliveChange returns this node's entry of a member unless that is alive, and nil
+// otherwise. The member needs the entry to refute it or to rejoin.
 func (t *Table) NonAliveChange(id ID) *pb.MemberChange {
 	r := t.records[id]
 	if r == nil || r.State == alive {
@@ -108,12 +109,12 @@
 	return r.Change()
 }
 
-// NonAliveChanges returns what is known of every boot of a node, unless it is alive. A
-// member that could not reach the node may have missed that it is gone.
+// NonAliveChanges returns the entries of all boots of a node that are not alive. A
+// member that cannot reach the node may have missed that its boot is gone.
 func (t *Table) NonAliveChanges(name string) []*pb.MemberChange {
-	var news []*pb.MemberChange
+	var changes []*pb.MemberChange
 	for _, r := range t.matching(func(r *record) bool { return r.Name == name && r.State != alive }) {
-		news = append(news, r.Change())
+		changes = append(changes, r.Change())
 	}
-	return news
+	return changes
 }
--- a/policy/membership/simulation_test.go
+++ b/policy/membership/simulation_test.go
@@ -11,7 +11,7 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// Times of the node's ping loop that the simulation follows.
+// Timing of the simulated ping loop.
 const (
 	simInterval = 200 * time.Millisecond
 	simTimeout  = 150 * time.Millisecond
@@ -19,7 +19,7 @@
 	simHelpers  = 3
 )
 
-// simulation runs tables against each other in virtual time.
+// simulation runs the protocol between the tables of all nodes in virtual time.
 type simulation struct {
 	now    time.Time
 	rng    *rand.Rand
@@ -28,7 +28,8 @@
 	nodes  map[string]*simNode // by address
 	// partitioned reports whether messages between two nodes are lost.
 	partitioned func(a, b *simNode) bool
-	// bytes sent and messages, and the largest message.
+	// bytes and messages are totals of sent messages, largest is the largest message
+	// in bytes.
 	bytes, messages, largest int
 }
 
@@ -63,10 +64,10 @@
 
 func newSimulation(count int, seed uint64) *simulation {
 	s := &simulation{
-		now:   time.Unix(1000, 0),
-		rng:   rand.New(rand.NewPCG(seed, 1)),
-		nodes: make(map[string]*simNode),
-		partitioned:   func(_, _ *simNode) bool { return false },
+		now:         time.Unix(1000, 0),
+		rng:         rand.New(rand.NewPCG(seed, 1)),
+		nodes:       make(map[string]*simNode),
+		partitioned: func(_, _ *simNode) bool { return false },
 	}
 	var all []*simNode
 	for i := range count {
@@ -102,7 +103,7 @@
 	heap.Push(&s.events, simEvent{s.now.Add(d), s.seq, do})
 }
 
-// run lets virtual time pass.
+// run advances virtual time and executes the events that become due.
 func (s *simulation) run(d time.Duration) {
 	end := s.now.Add(d)
 	for len(s.events) > 0 && !s.events[0].at.After(end) {
@@ -113,7 +114,8 @@
 	s.now = end
 }
 
-// runUntil runs runUntil a condition holds, and returns how long that took.
+// runUntil runs until a condition holds and returns the elapsed virtual time. The
+// second result is false when the limit is exceeded.
 func (s *simulation) runUntil(limit time.Duration, holds func() bool) (time.Duration, bool) {
 	began := s.now
 	for !holds() {
@@ -125,8 +127,8 @@
 	return s.now.Sub(began), true
 }
 
-// pollInterval is how often until looks: rarely in large fleets, where a look costs
-// much.
+// pollInterval is how often runUntil evaluates its condition. It is longer for large
+// fleets, where the evaluation is expensive.
 func (s *simulation) pollInterval() time.Duration {
 	if len(s.nodes) > 100 {
 		return 200 * time.Millisecond
@@ -134,7 +136,7 @@
 	return 20 * time.Millisecond
 }
 
-// pingLoop pings one member in turn.
+// pingLoop pings the next member and schedules itself again.
 func (s *simulation) pingLoop(n *simNode) {
 	if !n.running {
 		return
@@ -153,17 +155,17 @@
 	})
 }
 
-// ping sends a ping; done hears whether an answer came in time.
+// ping sends a ping and calls done with true if the target answers in time.
 func (s *simulation) ping(n *simNode, target Member, done func(bool)) {
-	news := n.Changes()
-	changes := append(news[:len(news):len(news)], n.Self().Change())
-	if about := n.NonAliveChange(target.ID()); about != nil {
-		changes = append(changes, about)
+	gossiped := n.Changes()
+	changes := append(gossiped[:len(gossiped):len(gossiped)], n.Self().Change())
+	if change := n.NonAliveChange(target.ID()); change != nil {
+		changes = append(changes, change)
 	}
 	other := s.send(n, target.PeerAddress, &pb.GossipRequest{Envelope: envelopeOf(n, changes)})
 	if other == nil {
 		s.after(simTimeout, func() {
-			n.MarkUnsent(news)
+			n.MarkUnsent(gossiped)
 			done(false)
 		})
 		return
@@ -172,8 +174,8 @@
 		sender := n.Self().ID()
 		s.applyAll(other, changes)
 		answer := other.Changes()
-		if about := other.NonAliveChange(sender); about != nil {
-			answer = append(answer, about)
+		if change := other.NonAliveChange(sender); change != nil {
+			answer = append(answer, change)
 		}
 		s.send(other, n.self.PeerAddress, &pb.GossipResponse{Envelope: envelopeOf(other, answer)})
 		id := other.Self().ID()
@@ -188,7 +190,7 @@
 	})
 }
 
-// join takes over the whole table of another member.
+// join applies the whole table of another member.
 func (s *simulation) join(n, other *simNode) {
 	all := other.AllChanges()
 	s.send(other, n.self.PeerAddress, &pb.GossipResponse{Envelope: envelopeOf(other, all)})
@@ -204,9 +206,9 @@
 		}
 		s.ping(via, target, func(ok bool) {
 			answered = answered || ok
-			if news := via.NonAliveChanges(target.Name); !ok && n.running {
-				s.send(via, n.self.PeerAddress, &pb.GossipResponse{Envelope: envelopeOf(via, news)})
-				s.applyAll(n, news)
+			if changes := via.NonAliveChanges(target.Name); !ok && n.running {
+				s.send(via, n.self.PeerAddress, &pb.GossipResponse{Envelope: envelopeOf(via, changes)})
+				s.applyAll(n, changes)
 			}
 		})
 	}
@@ -217,7 +219,7 @@
 	})
 }
 
-// send counts a message and returns the node that it reaches, or nil.
+// send counts a message and returns its receiver, or nil when the message is lost.
 func (s *simulation) send(from *simNode, addr string, m proto.Message) *simNode {
 	size := proto.Size(m)
 	s.bytes += size
@@ -263,7 +265,7 @@
 	return !s.allNodes(func(n *simNode) bool { return !holds(n) })
 }
 
-// stateOf is what a node believes of another.
+// stateOf returns the state of a member in the table of n.
 func (n *simNode) stateOf(of Member) pb.MemberState {
 	m, _ := n.Lookup(of.ID())
 	return m.State
--- a/policy/membership/table.go
+++ b/policy/membership/table.go
@@ -16,31 +16,32 @@
 	gone    = pb.MemberState_MEMBER_STATE_GONE
 )
 
-// record is a member with what only this node knows of it.
+// record is a member with data that is local to this node.
 type record struct {
 	Member
-	// unansweredSince is when a leaving member first did not answer; zero when it does.
+	// unansweredSince is when a leaving member first failed to answer, zero while it
+	// answers.
 	unansweredSince time.Time
-	// firstSeen is when this node first heard of the boot.
+	// firstSeen is when this node added the record.
 	firstSeen time.Time
 }
 
 // Table is one node's view of the fleet. It is not safe for concurrent use.
 type Table struct {
-	self    Member
-	params  Params
-	rng     *rand.Rand
-	records map[ID]*record
-	queue   gossipQueue
-	pingOrder  pingOrder
-	// transitions since the last Transitions call.
+	self      Member
+	params    Params
+	rng       *rand.Rand
+	records   map[ID]*record
+	queue     gossipQueue
+	pingOrder pingOrder
+	// transitions are those since the last call of Transitions.
 	transitions []Transition
-	// version rises with each change that others can see.
+	// version increases with each change of a member, its state or its address.
 	version uint64
 }
 
-// New returns the table of a node that has just started. The node announces
-// itself with its first messages.
+// New returns the table of a node that starts. The node's own entry is queued for
+// its first messages.
 func New(self Member, params Params, rng *rand.Rand) *Table {
 	self.State = alive
 	self.Incarnation = 1
@@ -59,18 +60,19 @@
 	return t.self
 }
 
-// Version rises whenever a member, its state or its address changes.
+// Version returns a number that increases whenever a member, its state or its address
+// changes.
 func (t *Table) Version() uint64 {
 	return t.version
 }
 
-// SetConfigVersion notes the configuration version in force at this node.
+// SetConfigVersion records the configuration version in force at this node.
 func (t *Table) SetConfigVersion(version uint64) {
 	t.self.ConfigVersion = version
 }
 
-// Members returns every member that is not gone, this node included, by name
-// and boot.
+// Members returns all members that are not gone, including this node, sorted by name
+// and boot number.
 func (t *Table) Members() []Member {
 	members := make([]Member, 0, len(t.records)+1)
 	members = append(members, t.self)
@@ -83,7 +85,7 @@
 	return members
 }
 
-// Lookup returns the member of that identity, gone or not.
+// Lookup returns the member with the given ID, also when it is gone.
 func (t *Table) Lookup(id ID) (Member, bool) {
 	if id == t.self.ID() {
 		return t.self, true
@@ -95,8 +97,8 @@
 	return r.Member, true
 }
 
-// ByName returns the boots of a node that are not gone. There is more than one
-// only until a ping shows which of them is running.
+// ByName returns the boots of a node that are not gone, sorted by boot number. There
+// may be several until the answer to a ping shows which one is running.
 func (t *Table) ByName(name string) []Member {
 	var members []Member
 	if t.self.Name == name {
@@ -111,20 +113,20 @@
 	return members
 }
 
-// Transitions returns the changes of state since the last call.
+// Transitions returns the state changes since the last call.
 func (t *Table) Transitions() []Transition {
-	taken := t.transitions
+	transitions := t.transitions
 	t.transitions = nil
-	return taken
+	return transitions
 }
 
-// Leave announces that this node shuts down: it gets no new work from now on.
+// Leave announces that this node is shutting down and accepts no new work.
 func (t *Table) Leave() {
 	t.announce(leaving)
 }
 
-// FinishLeave announces that this node has finished its work and ends. It is the last
-// thing that a node says.
+// FinishLeave announces that this node has finished its work and exits. Call it last:
+// the announced state is final.
 func (t *Table) FinishLeave() {
 	t.announce(gone)
 }
@@ -139,9 +141,9 @@
 	t.queue.add(t.self.ID())
 }
 
-// Rejoin gives this node a new identity after others counted its boot as gone,
-// as happens to a VM that was cut off until the platform no longer listed it.
-// Whatever the old boot held has lapsed.
+// Rejoin gives this node a new boot number after others marked its boot as gone, for
+// example because it was partitioned until the platform no longer listed its VM.
+// Claims and grants of the old boot are void.
 func (t *Table) Rejoin(boot uint64) {
 	old := t.self
 	old.State = gone
@@ -153,13 +155,13 @@
 	t.queue.add(t.self.ID())
 }
 
-// setStateAndGossip takes a new state of a record and passes it on.
+// setStateAndGossip updates a record and queues the change for gossip.
 func (t *Table) setStateAndGossip(now time.Time, r *record, m Member, cause string) {
 	t.setState(now, r, m, cause)
 	t.queue.add(m.ID())
 }
 
-// setState takes a new state of a record.
+// setState updates a record and adds a transition if the state changes.
 func (t *Table) setState(now time.Time, r *record, m Member, cause string) {
 	from := r.State
 	m.Since = r.Since
