--- a/policy/ownership/claims.go
+++ b/policy/ownership/claims.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Node is one boot of one node.
+// Node identifies one boot of one node.
 type Node struct {
 	Name string
 	Boot uint64
@@ -11,102 +11,104 @@
 // Candidate is another node of a replica's data centre that is not confirmed gone.
 type Candidate struct {
 	Node
-	// LeavingFor is how long ago this node heard that it shuts down; 0 when it
-	// does not.
+	// LeavingFor is the time since this node learned that the candidate is shutting
+	// down, 0 when it is not.
 	LeavingFor time.Duration
 }
 
-// Ranking is the ranking for one replica around this node.
+// Ranking is the ranking of the other nodes for one replica, relative to this node.
 type Ranking struct {
-	// Higher are the rivals that rank higher, Lower those that rank lower, both
-	// best first.
+	// Higher are the candidates that rank above this node, Lower those that rank
+	// below, both highest first.
 	Higher, Lower []Candidate
 }
 
-// ClaimParams are the times of Claims.
+// ClaimParams are the parameters of Claims.
 type ClaimParams struct {
-	// Lease is how long a granted claim lasts, from the moment the claim was
-	// sent, by the claimant's clock.
+	// Lease is the duration of a granted claim, measured by the claimant's clock
+	// from the time when the claim was sent.
 	Lease time.Duration
-	// Margin is added by the granter: it covers the time between the last check
-	// of a claim and the send, and clocks of slightly different speed.
+	// Margin is added to the lease by the granter. It covers the time between the
+	// claimant's last call of MayUse and its send, and clock drift.
 	Margin time.Duration
-	// MaxGranters bounds the nodes asked for one replica. In a data centre with
-	// more nodes, a newcomer that the claimant does not know could ask others; so
-	// a newcomer waits until its join has spread before it claims.
+	// MaxGranters is the maximum number of the next lower nodes whose consent a
+	// claim needs. In a data centre with more nodes, a new node must not claim
+	// before its join has reached all members: a claimant without a record of the
+	// new node could otherwise hold the consent of a different set of nodes.
 	MaxGranters int
 }
 
-// DefaultClaimParams let a cold replica rest about 4 s after its first owner
-// stopped without a word.
+// DefaultClaimParams returns the parameters for production use. After a crash of the
+// node that uses a cold replica, the replica stays unused until the grants to that
+// node have expired.
 func DefaultClaimParams() ClaimParams {
 	return ClaimParams{Lease: 2 * time.Second, Margin: time.Second, MaxGranters: 8}
 }
 
-// Claims decides whether this node may use a cold replica: at most one node of
-// a data centre does at any time, although nodes disagree on the members, are
-// paused, cut off and replaced.
+// Claims decides whether this node may use a cold replica. At most one node of a
+// data centre may use the replica at any time, even while member tables differ and
+// nodes are paused, partitioned and replaced.
 //
-// The first-ranked node asks the nodes ranked below it for consent. A node that
-// consents promises not to use the replica until its grant has lapsed, and a
-// little longer. So a claimant that hears nothing has to stop first, by its own
-// clock, and only then may the next one start. A node above that never asked
-// this one has its consent from others; its place is free only once it is
-// confirmed gone.
+// The highest-ranked node claims the replica from the nodes ranked below. A node that
+// grants the claim does not use the replica before its grant has expired. The grant
+// expires later than the lease of the claimant, so a claimant that receives no new
+// grant stops, by its own clock, before another node can start. A higher-ranked node
+// that never claimed from this node may hold grants of other nodes, so this node
+// starts only once that node is confirmed gone or has been leaving for at least the
+// maximum request time.
 //
-// A claimant that learns of a node above gives its consents back, see Release, so
-// that nobody has to wait until they lapse.
+// A claimant that learns of a higher-ranked node releases its consents, see Release.
+// The other node then need not wait until they expire.
 //
 // Claims is not safe for concurrent use.
 type Claims struct {
 	params ClaimParams
-	// consents are this node's claims by replica: each node that was ever asked. A node
-	// that was asked may have granted although its answer was lost, so its consent
-	// is needed from then on.
+	// consents holds, by replica, an entry for each node that was ever asked for
+	// consent. Such a node may have granted a claim although its answer was lost, so
+	// its consent is required from then on.
 	consents map[string]map[Node]consent
-	// grants are the grants to others by replica, lapsed ones included: they show
-	// which claimants depend on this node.
+	// grants holds this node's grants by replica. Expired grants are retained,
+	// because they show which claimants need this node's consent.
 	grants map[string]map[Node]grant
-	// lastUse is when this node was last allowed to send to a replica.
+	// lastUse is, by replica, when MayUse last returned true.
 	lastUse map[string]time.Time
-	// lastRelease is when this node last gave its consents to a replica back. Answers to
-	// questions sent up to then count no more.
+	// lastRelease is, by replica, when this node last released its consents. Answers
+	// to claims sent until then are ignored.
 	lastRelease map[string]time.Time
-	// round numbers the messages of this boot with claims or releases.
+	// round is the number of the latest round of messages, see NextRound.
 	round uint64
 }
 
-// consent is what this node knows of another one's consent to it.
+// consent is the consent of another node to this node.
 type consent struct {
-	// expires is when the consent lapses, by this node's clock.
+	// expires is when the consent expires, by this node's clock.
 	expires time.Time
-	// requestRound is the round of the last question that was not given back since; 0
-	// when there is none.
+	// requestRound is the round of the last claim that has not been released since,
+	// 0 for none.
 	requestRound uint64
 }
 
 // grant is this node's consent to one claimant.
 type grant struct {
 	expires time.Time
-	// lastRequest is when the claimant lastRequest last, granted or not. While it asks, this
-	// node stops and lets it have the replica.
+	// lastRequest is when the last claim arrived, granted or not. This node does not
+	// use the replica for one lease afterwards.
 	lastRequest time.Time
-	// grantedRound is the highest grantedRound of a claim that was granted, releasedRound that of a
-	// release that was taken.
+	// grantedRound is the highest round of a granted claim, releasedRound that of an
+	// applied release.
 	grantedRound, releasedRound uint64
 }
 
-// Claim names what one message of a node says about one replica: that it claims
-// the replica, or that it gives a consent back.
+// Claim is the claim or the release of one replica in a message of a node.
 type Claim struct {
 	Replica  string
 	Claimant Node
-	// Round is the number of the message, see NextRound; 0 when the node counts
-	// none.
+	// Round is the round of the message, see NextRound. It is 0 when the sender does
+	// not number its rounds.
 	Round uint64
 }
 
-// NewClaims returns claims of a node that has just started and holds nothing.
+// NewClaims returns the claims of a node that starts, without consents and grants.
 func NewClaims(params ClaimParams) *Claims {
 	return &Claims{
 		params:      params,
@@ -117,37 +119,40 @@
 	}
 }
 
-// NextRound begins a round of messages and returns its number, which goes with
-// each of them. Call BeginClaim and Release for a replica in different rounds.
+// NextRound starts a round of messages and returns its number, which each message
+// of the round must carry. Call BeginClaim and Release for a replica in different
+// rounds.
 func (c *Claims) NextRound() uint64 {
 	c.round++
 	return c.round
 }
 
-// MayUse reports whether this node may send to the replica now. settle is the
-// longest time that one request takes there.
-func (c *Claims) MayUse(now time.Time, replica string, order Ranking, settle time.Duration) bool {
-	if !c.higherStopped(now, replica, order.Higher, settle) {
+// MayUse reports whether this node may send to the replica now. maxRequestTime is the
+// maximum duration of a request to the replica.
+func (c *Claims) MayUse(now time.Time, replica string, ranking Ranking, maxRequestTime time.Duration) bool {
+	if !c.higherStopped(now, replica, ranking.Higher, maxRequestTime) {
 		return false
 	}
-	// Promises to nodes that are gone by now are left.
-	if c.hasOtherGrant(now, replica, func(n Node) bool { return ranksHigher(order, n) }) {
+	// Of the remaining grants, those to nodes that are not ranked higher still block
+	// this node until they expire.
+	if c.hasOtherGrant(now, replica, func(n Node) bool { return ranksHigher(ranking, n) }) {
 		return false
 	}
-	if len(c.MissingConsents(now, replica, order, settle)) > 0 {
+	if len(c.MissingConsents(now, replica, ranking, maxRequestTime)) > 0 {
 		return false
 	}
 	c.lastUse[replica] = now
 	return true
 }
 
-// higherStopped reports whether every node ranked above has stopped using the replica.
-func (c *Claims) higherStopped(now time.Time, replica string, above []Candidate, settle time.Duration) bool {
-	for _, rival := range above {
-		if rival.LeavingFor > 0 && rival.LeavingFor >= settle {
+// higherStopped reports whether all higher-ranked nodes have stopped using the
+// replica.
+func (c *Claims) higherStopped(now time.Time, replica string, higher []Candidate, maxRequestTime time.Duration) bool {
+	for _, candidate := range higher {
+		if candidate.LeavingFor > 0 && candidate.LeavingFor >= maxRequestTime {
 			continue
 		}
-		grant, granted := c.grants[replica][rival.Node]
+		grant, granted := c.grants[replica][candidate.Node]
 		if !granted || now.Before(grant.expires) || now.Sub(grant.lastRequest) < c.params.Lease {
 			return false
 		}
@@ -155,8 +160,8 @@
 	return true
 }
 
-// hasOtherGrant reports whether this node's consent to some other node than the given
-// ones still holds.
+// hasOtherGrant reports whether this node has an unexpired grant to a node that except
+// does not match.
 func (c *Claims) hasOtherGrant(now time.Time, replica string, except func(Node) bool) bool {
 	for node, g := range c.grants[replica] {
 		if now.Before(g.expires) && !except(node) {
@@ -166,55 +171,55 @@
 	return false
 }
 
-// ranksHigher reports whether a node ranks above this one.
-func ranksHigher(order Ranking, node Node) bool {
-	for _, rival := range order.Higher {
-		if rival.Node == node {
+// ranksHigher reports whether a node ranks above this node.
+func ranksHigher(ranking Ranking, node Node) bool {
+	for _, candidate := range ranking.Higher {
+		if candidate.Node == node {
 			return true
 		}
 	}
 	return false
 }
 
-// granters are the nodes whose consent this node needs: the next few below, and
-// all asked before that are not confirmed gone.
-func (c *Claims) granters(replica string, order Ranking) []Node {
+// granters returns the nodes whose consent this node needs: the next MaxGranters
+// lower nodes, and all lower nodes that were asked before.
+func (c *Claims) granters(replica string, ranking Ranking) []Node {
 	var nodes []Node
-	for i, rival := range order.Lower {
-		_, asked := c.consents[replica][rival.Node]
+	for i, candidate := range ranking.Lower {
+		_, asked := c.consents[replica][candidate.Node]
 		if i < c.params.MaxGranters || asked {
-			nodes = append(nodes, rival.Node)
+			nodes = append(nodes, candidate.Node)
 		}
 	}
 	return nodes
 }
 
-// BeginClaim returns the nodes to ask for consent now: none while a node above may use
-// the replica. Send the question after this call, and report grants with the
-// time of this call.
-func (c *Claims) BeginClaim(now time.Time, replica string, order Ranking, settle time.Duration) []Node {
-	if !c.higherStopped(now, replica, order.Higher, settle) {
+// BeginClaim returns the nodes to claim the replica from, none while a higher-ranked
+// node may use the replica. Send the claim after this call, and pass the time of this
+// call to RecordGrant.
+func (c *Claims) BeginClaim(now time.Time, replica string, ranking Ranking, maxRequestTime time.Duration) []Node {
+	if !c.higherStopped(now, replica, ranking.Higher, maxRequestTime) {
 		return nil
 	}
-	asked := c.granters(replica, order)
+	granters := c.granters(replica, ranking)
 	if c.consents[replica] == nil {
 		c.consents[replica] = make(map[Node]consent)
 	}
-	held := c.consents[replica]
-	for _, node := range asked {
-		held[node] = consent{expires: held[node].expires, requestRound: c.round}
+	consents := c.consents[replica]
+	for _, node := range granters {
+		consents[node] = consent{expires: consents[node].expires, requestRound: c.round}
 	}
-	return asked
+	return granters
 }
 
-// MissingConsents returns the nodes whose consent this node lacks for a replica whose
-// turn it is to use: while there are any, the replica rests.
-func (c *Claims) MissingConsents(now time.Time, replica string, order Ranking, settle time.Duration) []Node {
-	if !c.higherStopped(now, replica, order.Higher, settle) {
+// MissingConsents returns the nodes whose missing consent prevents this node from
+// using the replica, none while a higher-ranked node may use the replica.
+func (c *Claims) MissingConsents(now time.Time, replica string, ranking Ranking, maxRequestTime time.Duration) []Node {
+	if !c.higherStopped(now, replica, ranking.Higher, maxRequestTime) {
 		return nil
 	}
 	var missing []Node
-	for _, granter := range c.granters(replica, order) {
+	for _, granter := range c.granters(replica, ranking) {
 		if !now.Before(c.consents[replica][granter].expires) {
 			missing = append(missing, granter)
 		}
@@ -222,49 +227,48 @@
 	return missing
 }
 
-// RecordGrant notes the consent of a node to a claim sent at that time. The answer
-// to a claim that was given back since comes too late: the granter may have
-// consented to another node on the release.
+// RecordGrant records that a node granted a claim that was sent at the given time. A
+// grant of a claim that has been released since is ignored, because the granter may
+// have granted the replica to another node after the release.
 func (c *Claims) RecordGrant(sent time.Time, replica string, by Node) {
 	if !sent.After(c.lastRelease[replica]) {
 		return
 	}
-	until := sent.Add(c.params.Lease)
-	if known, asked := c.consents[replica][by]; asked && until.After(known.expires) {
-		c.consents[replica][by] = consent{expires: until, requestRound: known.requestRound}
+	expires := sent.Add(c.params.Lease)
+	if current, asked := c.consents[replica][by]; asked && expires.After(current.expires) {
+		c.consents[replica][by] = consent{expires: expires, requestRound: current.requestRound}
 	}
 }
 
-// Grant decides on the claim of a node ranked above this one. inFlight is the
-// number of this node's own requests at the replica.
+// Grant reports whether this node grants a claim of a higher-ranked node. inFlight is
+// the number of this node's requests to the replica in flight.
 //
-// Consent goes to one claimant at a time: two newcomers that do not know each
-// other both ask the nodes that were there before them.
-func (c *Claims) Grant(now time.Time, claim Claim, order Ranking, inFlight int, settle time.Duration) bool {
-	c.pruneGrants(now, claim.Replica, order)
-	known, ok := c.grants[claim.Replica][claim.Claimant]
-	if claim.Round <= known.releasedRound && claim.Round > 0 {
-		// It was sent before the release and overtaken by it.
+// Only one claimant at a time has a grant of this node. Otherwise two new nodes that
+// have no record of each other could both obtain all consents that they need.
+func (c *Claims) Grant(now time.Time, claim Claim, ranking Ranking, inFlight int, maxRequestTime time.Duration) bool {
+	c.pruneGrants(now, claim.Replica, ranking)
+	current, ok := c.grants[claim.Replica][claim.Claimant]
+	if claim.Round <= current.releasedRound && claim.Round > 0 {
+		// The claim was sent before a release that arrived earlier.
 		return false
 	}
 	if ok {
-		known.lastRequest = now
-		c.grants[claim.Replica][claim.Claimant] = known
+		current.lastRequest = now
+		c.grants[claim.Replica][claim.Claimant] = current
 	}
 	if !c.stopped(now, claim.Replica, inFlight) {
 		return false
 	}
-	if !ranksHigher(order, claim.Claimant) || c.hasOtherGrant(now, claim.Replica, func(n Node) bool { return n == claim.Claimant }) {
+	if !ranksHigher(ranking, claim.Claimant) || c.hasOtherGrant(now, claim.Replica, func(n Node) bool { return n == claim.Claimant }) {
 		return false
 	}
-	known.expires = now.Add(c.params.Lease + c.params.Margin + settle)
-	known.lastRequest = now
-	known.grantedRound = max(known.grantedRound, claim.Round)
-	c.storeGrant(claim, known)
+	current.expires = now.Add(c.params.Lease + c.params.Margin + maxRequestTime)
+	current.lastRequest = now
+	current.grantedRound = max(current.grantedRound, claim.Round)
+	c.storeGrant(claim, current)
 	return true
 }
 
-// storeGrant notes a grant.
 func (c *Claims) storeGrant(claim Claim, g grant) {
 	if c.grants[claim.Replica] == nil {
 		c.grants[claim.Replica] = make(map[Node]grant)
@@ -272,40 +276,40 @@
 	c.grants[claim.Replica][claim.Claimant] = g
 }
 
-// stopped reports whether nothing of this node runs or can still start at a
-// replica: no request is in flight, and the last permission to send one is older
-// than the time between a permission and its send.
+// stopped reports whether this node has no request to the replica in flight and none
+// that may still be sent: MayUse last returned true at least Margin ago.
 func (c *Claims) stopped(now time.Time, replica string, inFlight int) bool {
 	return inFlight == 0 && now.Sub(c.lastUse[replica]) >= c.params.Margin
 }
 
-// Reset drops all claims and grants: the node goes on as a new boot, and others
-// may hold what the old one held. What it uses stays known, so that it consents to
-// nobody while its own last request may be running.
+// Reset drops all consents and grants when the node continues as a new boot, because
+// other nodes may have claimed the replicas of the old boot. The times of last use
+// are retained, so that the node grants no claim while its own last request may
+// still be in flight.
 func (c *Claims) Reset() {
 	c.consents = make(map[string]map[Node]consent)
 	c.grants = make(map[string]map[Node]grant)
 }
 
-// pruneGrants drops lapsed grants to nodes that are no rivals any more.
-func (c *Claims) pruneGrants(now time.Time, replica string, order Ranking) {
+// pruneGrants drops expired grants to nodes that no longer rank higher.
+func (c *Claims) pruneGrants(now time.Time, replica string, ranking Ranking) {
 	for node, g := range c.grants[replica] {
-		if !ranksHigher(order, node) && !now.Before(g.expires) {
+		if !ranksHigher(ranking, node) && !now.Before(g.expires) {
 			delete(c.grants[replica], node)
 		}
 	}
 }
 
-// Forget drops what depends on a node that is confirmed gone. Grants to it still
-// have to lapse: if the confirmation is wrong, because the platform answered
-// from the past, the node may be sending.
+// Forget drops the consents of a node that is confirmed gone, and its expired grants.
+// Unexpired grants to the node are retained: after a stale answer of the platform the
+// node may still be sending.
 func (c *Claims) Forget(now time.Time, node Node) {
-	for _, held := range c.consents {
-		delete(held, node)
+	for _, consents := range c.consents {
+		delete(consents, node)
 	}
-	for _, given := range c.grants {
-		if g, ok := given[node]; ok && !now.Before(g.expires) {
-			delete(given, node)
+	for _, grants := range c.grants {
+		if g, ok := grants[node]; ok && !now.Before(g.expires) {
+			delete(grants, node)
 		}
 	}
 }
--- a/policy/ownership/claims_test.go
+++ b/policy/ownership/claims_test.go
@@ -14,41 +14,41 @@
 
 const (
 	cold = "cold-replica"
-	// maxRequestTime is longer than the margin: a request that a release overlooks goes on
-	// after it.
+	// maxRequestTime is longer than the margin, so that a request that a faulty release
+	// ignores is still in flight after the margin.
 	maxRequestTime = 2500 * time.Millisecond
 )
 
-// brokenVariant breaks the policy on purpose.
+// brokenVariant selects a fault in the policy or the model that the check must detect.
 type brokenVariant struct {
-	// deadCountsAsGone gives away the place of a node that merely does not answer.
+	// deadCountsAsGone removes nodes from the ranking that only fail to answer.
 	deadCountsAsGone bool
-	// leaseFromAnswer counts a lease from the answer, not from the question.
+	// leaseFromAnswer starts a lease at the answer instead of at the claim.
 	leaseFromAnswer bool
-	// clockLag has a claimant believe in its lease for so much longer.
+	// clockLag extends each lease of a claimant by this duration.
 	clockLag time.Duration
-	// params, if set, replace the defaults.
+	// params replace the defaults if set.
 	params *ClaimParams
-	// releaseInFlight gives consents back while a request is in flight, releaseBeforeSend
-	// while one may still start.
+	// releaseInFlight releases consents while a request is in flight,
+	// releaseBeforeSend while one may still be sent.
 	releaseInFlight, releaseBeforeSend bool
-	// releaseEndsAnyGrant has a release end newer grants too.
+	// releaseEndsAnyGrant makes a release end newer grants too.
 	releaseEndsAnyGrant bool
-	// acceptLateAnswers count although the claim was given back.
+	// acceptLateAnswers accepts answers to claims that have been released.
 	acceptLateAnswers bool
 }
 
-// requestSpan is the time that one request takes at the replica.
+// requestSpan is the interval in which a request is in flight.
 type requestSpan struct{ from, to time.Time }
 
-// rival is a node of the model. Each has its own idea of the others, which may
-// be wrong in any way but one: a node is called gone only when it is.
+// modelNode is a node of the model. Its member table may be wrong, except that it
+// drops a node as gone only when that node has stopped.
 type modelNode struct {
 	Node
 	claims  *Claims
 	running bool
 	leaving bool
-	// members are the nodes not confirmed gone, self included.
+	// members are the nodes that are not confirmed gone, including this node.
 	members      map[Node]bool
 	dead         map[Node]bool
 	leavingSince map[Node]time.Time
@@ -80,104 +80,104 @@
 	nodes    []*modelNode
 	messages []message
 	boots    uint64
-	// lastUser sent last; moves counts sends by another node than the last one.
+	// lastUser is the node that sent last, handovers counts its changes.
 	lastUser  *modelNode
 	handovers int
-	// releases counts consents given back.
+	// releases counts released consents.
 	releases int
 }
 
-func (w *claimModel) params() ClaimParams {
-	if w.brokenVariant.params != nil {
-		return *w.brokenVariant.params
+func (c *claimModel) params() ClaimParams {
+	if c.brokenVariant.params != nil {
+		return *c.brokenVariant.params
 	}
 	return DefaultClaimParams()
 }
 
-// join starts a boot that knows everyone who runs now. The others learn of it
-// later, by a message or by gossip.
-func (w *claimModel) join(name string) {
-	w.boots++
+// join starts a boot with all running nodes in its member table. The others add the
+// new boot later, by a message or by gossip.
+func (c *claimModel) join(name string) {
+	c.boots++
 	n := &modelNode{
-		Node:         Node{Name: name, Boot: w.boots},
-		claims:       NewClaims(w.params()),
+		Node:         Node{Name: name, Boot: c.boots},
+		claims:       NewClaims(c.params()),
 		running:      true,
 		members:      make(map[Node]bool),
 		dead:         make(map[Node]bool),
 		leavingSince: make(map[Node]time.Time),
 	}
-	for _, other := range w.nodes {
+	for _, other := range c.nodes {
 		if other.running {
 			n.members[other.Node] = true
 		}
 	}
 	n.members[n.Node] = true
-	w.nodes = append(w.nodes, n)
+	c.nodes = append(c.nodes, n)
 }
 
-func (w *claimModel) order(n *modelNode) Ranking {
+func (c *claimModel) ranking(n *modelNode) Ranking {
 	var names []string
 	for other := range n.members {
 		names = append(names, other.Name)
 	}
-	var order Ranking
-	list, seen := &order.Higher, make(map[string]bool)
+	var ranking Ranking
+	list, seen := &ranking.Higher, make(map[string]bool)
 	for _, name := range Rank(cold, names) {
 		if seen[name] {
 			continue
 		}
 		seen[name] = true
 		if name == n.Name {
-			list = &order.Lower
+			list = &ranking.Lower
 			continue
 		}
-		for _, other := range w.nodes {
+		for _, other := range c.nodes {
 			if other.Name != name || !n.members[other.Node] {
 				continue
 			}
-			if w.deadCountsAsGone && n.dead[other.Node] {
+			if c.deadCountsAsGone && n.dead[other.Node] {
 				continue
 			}
-			r := Candidate{Node: other.Node}
+			candidate := Candidate{Node: other.Node}
 			if since, ok := n.leavingSince[other.Node]; ok {
-				r.LeavingFor = w.now.Sub(since)
+				candidate.LeavingFor = c.now.Sub(since)
 			}
-			*list = append(*list, r)
+			*list = append(*list, candidate)
 		}
 	}
-	return order
+	return ranking
 }
 
-func (w *claimModel) ask(n *modelNode) {
+func (c *claimModel) claim(n *modelNode) {
 	round := n.claims.NextRound()
-	w.send(n, n.claims.BeginClaim(w.now, cold, w.order(n), maxRequestTime), message{sent: w.now, round: round})
+	c.send(n, n.claims.BeginClaim(c.now, cold, c.ranking(n), maxRequestTime), message{sent: c.now, round: round})
 }
 
-// release gives consents back.
-func (w *claimModel) release(n *modelNode) {
-	inFlight := n.inFlight(w.now)
-	if w.releaseInFlight {
+// release releases the consents of a node and sends the messages.
+func (c *claimModel) release(n *modelNode) {
+	inFlight := n.inFlight(c.now)
+	if c.releaseInFlight {
 		inFlight = 0
 	}
-	if w.releaseBeforeSend {
+	if c.releaseBeforeSend {
 		delete(n.claims.lastUse, cold)
 	}
 	round := n.claims.NextRound()
-	nodes := n.claims.Release(w.now, cold, w.order(n), inFlight, maxRequestTime)
-	w.send(n, nodes, message{sent: w.now, round: round, release: true})
-	w.releases += len(nodes)
+	nodes := n.claims.Release(c.now, cold, c.ranking(n), inFlight, maxRequestTime)
+	c.send(n, nodes, message{sent: c.now, round: round, release: true})
+	c.releases += len(nodes)
 }
 
-func (w *claimModel) send(n *modelNode, to []Node, m message) {
-	for _, other := range w.nodes {
+func (c *claimModel) send(n *modelNode, to []Node, m message) {
+	for _, other := range c.nodes {
 		if slices.Contains(to, other.Node) {
 			m.from, m.to = n, other
-			w.messages = append(w.messages, m)
+			c.messages = append(c.messages, m)
 		}
 	}
 }
 
-func (w *claimModel) deliver(m message) {
+func (c *claimModel) deliver(m message) {
 	if !m.to.running {
 		return
 	}
@@ -188,19 +188,19 @@
 		m.to.claims.RecordRelease(cold, m.from.Node, m.round)
 		return
 	case m.release:
-		if w.releaseEndsAnyGrant {
+		if c.releaseEndsAnyGrant {
 			claim.Round = math.MaxUint64
 		}
-		m.to.claims.EndGrant(w.now, claim, w.order(m.to))
-		w.messages = append(w.messages, answer)
+		m.to.claims.EndGrant(c.now, claim, c.ranking(m.to))
+		c.messages = append(c.messages, answer)
 		return
 	case m.answer:
-		sent := m.sent.Add(w.clockLag)
-		if w.acceptLateAnswers {
+		sent := m.sent.Add(c.clockLag)
+		if c.acceptLateAnswers {
 			delete(m.to.claims.lastRelease, cold)
 		}
-		if w.leaseFromAnswer {
-			sent = w.now
+		if c.leaseFromAnswer {
+			sent = c.now
 		}
 		if m.granted {
 			m.to.claims.RecordGrant(sent, cold, m.from.Node)
@@ -208,66 +208,66 @@
 		return
 	}
 	m.to.members[m.from.Node] = true
-	answer.granted = m.to.claims.Grant(w.now, claim, w.order(m.to), m.to.inFlight(w.now), maxRequestTime)
-	w.messages = append(w.messages, answer)
+	answer.granted = m.to.claims.Grant(c.now, claim, c.ranking(m.to), m.to.inFlight(c.now), maxRequestTime)
+	c.messages = append(c.messages, answer)
 }
 
-// use sends a request if the policy lets it, after a gap between the permission
-// and the send, and holds the promise: no other node has one at the replica. Its
-// deadline runs from the permission.
-func (w *claimModel) use(t *rapid.T, n *modelNode, gap, takes time.Duration) {
-	if n.leaving || !n.claims.MayUse(w.now, cold, w.order(n), maxRequestTime) {
+// use sends a request if the policy permits it, and verifies that no other node has a
+// request to the replica in flight. The request is sent gap after the permission and
+// ends duration after the permission.
+func (c *claimModel) use(t *rapid.T, n *modelNode, gap, duration time.Duration) {
+	if n.leaving || !n.claims.MayUse(c.now, cold, c.ranking(n), maxRequestTime) {
 		return
 	}
-	s := requestSpan{from: w.now.Add(gap), to: w.now.Add(takes)}
-	for _, other := range w.nodes {
+	s := requestSpan{from: c.now.Add(gap), to: c.now.Add(duration)}
+	for _, other := range c.nodes {
 		for _, o := range other.spans {
 			if other != n && other.running && o.from.Before(s.to) && s.from.Before(o.to) {
-				t.Fatalf("ColdReplicaIsUsedThroughOneNode: %v sends while %v has a request there until %v",
-					n.Node, other.Node, o.to.Sub(w.now))
+				t.Fatalf("ColdReplicaIsUsedThroughOneNode: %v sends while a request of %v is in flight for another %v",
+					n.Node, other.Node, o.to.Sub(c.now))
 			}
 		}
 	}
 	n.spans = append(n.spans, s)
-	if w.lastUser != n {
-		w.lastUser = n
-		w.handovers++
+	if c.lastUser != n {
+		c.lastUser = n
+		c.handovers++
 	}
 }
 
-// round is the quiet case: a node asks and all answers come at once, or, when
-// late, are still on their way.
-func (w *claimModel) round(n *modelNode, answersLate bool) {
-	late := w.messages
-	w.messages = nil
-	w.ask(n)
-	for len(w.messages) > 0 {
-		m := w.messages[0]
-		w.messages = w.messages[1:]
+// claimRound sends the claims of a node and delivers all messages at once. With
+// answersLate, the answers stay in flight.
+func (c *claimModel) claimRound(n *modelNode, answersLate bool) {
+	late := c.messages
+	c.messages = nil
+	c.claim(n)
+	for len(c.messages) > 0 {
+		m := c.messages[0]
+		c.messages = c.messages[1:]
 		if m.answer && answersLate {
 			late = append(late, m)
 			continue
 		}
-		w.deliver(m)
+		c.deliver(m)
 	}
-	w.messages = late
+	c.messages = late
 }
 
-// claimProperty lets nodes claim, use, die, leave, join and misjudge one another in
-// any order, with messages lost, late and crossed.
-func claimProperty(v brokenVariant, moves, releases *int) func(*rapid.T) {
+// claimProperty runs a random sequence of claims, requests, crashes, leaves, joins and
+// wrong failure detections, with lost, delayed and reordered messages.
+func claimProperty(v brokenVariant, handovers, releases *int) func(*rapid.T) {
 	return func(t *rapid.T) {
-		w := &claimModel{brokenVariant: v, now: time.Unix(1000, 0)}
+		c := &claimModel{brokenVariant: v, now: time.Unix(1000, 0)}
 		for i := range rapid.SampledFrom([]int{2, 2, 3, 4}).Draw(t, "nodes") {
-			w.join(fmt.Sprint("n", i))
+			c.join(fmt.Sprint("n", i))
 		}
-		for _, n := range w.nodes {
-			for _, other := range w.nodes {
+		for _, n := range c.nodes {
+			for _, other := range c.nodes {
 				n.members[other.Node] = true
 			}
 		}
 		pick := func(t *rapid.T) *modelNode {
-			return w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(t, "node")]
+			return c.nodes[rapid.IntRange(0, len(c.nodes)-1).Draw(t, "node")]
 		}
 		running := func(do func(*rapid.T, *modelNode)) func(*rapid.T) {
 			return func(t *rapid.T) {
@@ -277,34 +277,34 @@
 			}
 		}
 		deliver := func(t *rapid.T) {
-			if len(w.messages) == 0 {
+			if len(c.messages) == 0 {
 				return
 			}
-			i := rapid.IntRange(0, len(w.messages)-1).Draw(t, "message")
-			m := w.messages[i]
+			i := rapid.IntRange(0, len(c.messages)-1).Draw(t, "message")
+			m := c.messages[i]
 			if rapid.IntRange(0, 5).Draw(t, "twice") > 0 {
-				w.messages = append(w.messages[:i:i], w.messages[i+1:]...)
+				c.messages = append(c.messages[:i:i], c.messages[i+1:]...)
 			}
-			w.deliver(m)
+			c.deliver(m)
 		}
 		use := running(func(t *rapid.T, n *modelNode) {
 			gap := time.Duration(rapid.SampledFrom([]int{0, 0, 300}).Draw(t, "gap ms")) * time.Millisecond
-			takes := time.Duration(rapid.SampledFrom([]int{10, 400, 2500}).Draw(t, "takes ms")) * time.Millisecond
-			w.use(t, n, min(gap, takes), takes)
+			duration := time.Duration(rapid.SampledFrom([]int{10, 400, 2500}).Draw(t, "takes ms")) * time.Millisecond
+			c.use(t, n, min(gap, duration), duration)
 		})
-		release := running(func(_ *rapid.T, n *modelNode) { w.release(n) })
+		release := running(func(_ *rapid.T, n *modelNode) { c.release(n) })
 		round := running(func(t *rapid.T, n *modelNode) {
-			w.round(n, rapid.IntRange(0, 3).Draw(t, "answers late") == 0)
+			c.claimRound(n, rapid.IntRange(0, 3).Draw(t, "answers late") == 0)
 		})
 		learn := running(func(t *rapid.T, n *modelNode) {
 			other := pick(t)
 			switch {
 			case !other.running:
 				delete(n.members, other.Node)
-				n.claims.Forget(w.now, other.Node)
+				n.claims.Forget(c.now, other.Node)
 			case other.leaving && other != n:
 				if _, ok := n.leavingSince[other.Node]; !ok {
-					n.leavingSince[other.Node] = w.now
+					n.leavingSince[other.Node] = c.now
 				}
 			case other.running:
 				n.members[other.Node] = true
@@ -313,7 +313,7 @@
 		actions := map[string]func(*rapid.T){
 			"round1":   round,
 			"round2":   round,
-			"ask":      running(func(_ *rapid.T, n *modelNode) { w.ask(n) }),
+			"ask":      running(func(_ *rapid.T, n *modelNode) { c.claim(n) }),
 			"deliver1": deliver,
 			"deliver2": deliver,
 			"deliver3": deliver,
@@ -322,7 +322,7 @@
 			"release1": release,
 			"release2": release,
 			"pass": func(t *rapid.T) {
-				w.now = w.now.Add(time.Duration(rapid.SampledFrom([]int{50, 300, 1000, 2000, 6000}).Draw(t, "ms")) * time.Millisecond)
+				c.now = c.now.Add(time.Duration(rapid.SampledFrom([]int{50, 300, 1000, 2000, 6000}).Draw(t, "ms")) * time.Millisecond)
 			},
 			"misjudge": running(func(t *rapid.T, n *modelNode) {
 				other := pick(t)
@@ -341,64 +341,64 @@
 			"learn1": learn,
 			"learn2": learn,
 			"join": func(t *rapid.T) {
-				if len(w.nodes) < 7 && rapid.IntRange(0, 4).Draw(t, "join") == 0 {
-					w.join(fmt.Sprint("n", rapid.IntRange(0, 5).Draw(t, "name"), "-", len(w.nodes)))
+				if len(c.nodes) < 7 && rapid.IntRange(0, 4).Draw(t, "join") == 0 {
+					c.join(fmt.Sprint("n", rapid.IntRange(0, 5).Draw(t, "name"), "-", len(c.nodes)))
 				}
 			},
-			// A node gives way to a newcomer that is gone as soon as it has heard of it.
+			// A new node joins, causes a release and is gone at once.
 			"visit": running(func(t *rapid.T, n *modelNode) {
-				w.boots++
-				visitor := &modelNode{Node: Node{Name: fmt.Sprint("v", w.boots), Boot: w.boots}}
-				w.nodes = append(w.nodes, visitor)
-				n.members[visitor.Node] = true
-				w.release(n)
-				delete(n.members, visitor.Node)
-				n.claims.Forget(w.now, visitor.Node)
-				w.nodes = w.nodes[:len(w.nodes)-1]
+				c.boots++
+				joined := &modelNode{Node: Node{Name: fmt.Sprint("v", c.boots), Boot: c.boots}}
+				c.nodes = append(c.nodes, joined)
+				n.members[joined.Node] = true
+				c.release(n)
+				delete(n.members, joined.Node)
+				n.claims.Forget(c.now, joined.Node)
+				c.nodes = c.nodes[:len(c.nodes)-1]
 			}),
 		}
 		if rapid.Bool().Draw(t, "nobody comes or goes") {
-			// Long exchanges of claims, releases and requests.
+			// With constant membership, sequences of claims, releases and requests
+			// are longer.
 			for _, action := range []string{"misjudge", "die", "leave", "learn1", "learn2", "join"} {
 				delete(actions, action)
 			}
 		}
 		t.Repeat(actions)
-		*moves += w.handovers
-		*releases += w.releases
+		*handovers += c.handovers
+		*releases += c.releases
 	}
 }
 
-// A cold replica bears one request. Nodes that disagree on the members, wake
-// from a pause or join would each send one, the replica would fall over, and its
-// shard would be missing from every answer. Whatever the order of events, only
-// one node has requests there. A long run with a fresh seed:
+// Guards against a cold replica that several nodes use at the same time, which would
+// overload the replica, while member tables differ, nodes pause and join, and messages
+// are lost. Longer run with a new seed:
 //
 //	go test ./policy/ownership -run ByOneNodeAtATime -rapid.checks=200000 -rapid.seed=$RANDOM
 func TestColdReplicaIsUsedByOneNodeAtATime(t *testing.T) {
-	moves, releases := 0, 0
-	rapid.Check(t, claimProperty(brokenVariant{}, &moves, &releases))
-	t.Logf("the right moved %d times, %d consents were given back", moves, releases)
-	if moves < 1000 || releases < 1000 {
-		t.Fatal("the right hardly moved: the check checks little")
+	handovers, releases := 0, 0
+	rapid.Check(t, claimProperty(brokenVariant{}, &handovers, &releases))
+	t.Logf("%d handovers, %d released consents", handovers, releases)
+	if handovers < 1000 || releases < 1000 {
+		t.Fatal("too few handovers or releases to verify the property")
 	}
 }
 
 func TestColdReplicaCheckCatchesBrokenVariants(t *testing.T) {
 	variants := map[string]brokenVariant{
-		"a dead node counts as gone":        {deadCountsAsGone: true},
-		"a lease counts from the answer":    {leaseFromAnswer: true},
-		"the claimant's clock runs slowly":  {clockLag: 4 * time.Second},
-		"released with a request in flight": {releaseInFlight: true},
-		"released before a request starts":  {releaseBeforeSend: true},
-		"a release ends a newer grant":      {releaseEndsAnyGrant: true},
-		"an answer counts after a release":  {acceptLateAnswers: true},
-		"nobody is asked":                   {params: &ClaimParams{Lease: 2 * time.Second, Margin: time.Second}},
+		"dead node counts as gone":           {deadCountsAsGone: true},
+		"lease starts at the answer":         {leaseFromAnswer: true},
+		"clock of the claimant lags":         {clockLag: 4 * time.Second},
+		"release with a request in flight":   {releaseInFlight: true},
+		"release before a request is sent":   {releaseBeforeSend: true},
+		"release ends a newer grant":         {releaseEndsAnyGrant: true},
+		"answer is accepted after a release": {acceptLateAnswers: true},
+		"claim without granters":             {params: &ClaimParams{Lease: 2 * time.Second, Margin: time.Second}},
 	}
 	for name, broken := range variants {
 		t.Run(name, func(t *testing.T) {
-			moves, releases := 0, 0
-			modeltest.Caught(t, "", claimProperty(broken, &moves, &releases))
+			handovers, releases := 0, 0
+			modeltest.Caught(t, "", claimProperty(broken, &handovers, &releases))
 		})
 	}
 }
--- a/policy/ownership/groups.go
+++ b/policy/ownership/groups.go
@@ -6,9 +6,9 @@
 	"strconv"
 )
 
-// GroupCount is the number of groups for that many members: the largest power
-// of two whose groups hold at least size members, and 1 when size is 0. A power
-// of two lets the count stay the same while the fleet grows up to double.
+// GroupCount returns the number of groups for the given number of members: the
+// largest power of two with at least size members in each group, and 1 when size is
+// 0. With powers of two, the count changes only when the members double.
 func GroupCount(members, size int) int {
 	if size <= 0 || members < 2*size {
 		return 1
@@ -16,16 +16,16 @@
 	return 1 << (bits.Len(uint(members/size)) - 1)
 }
 
-// Groups splits members into GroupCount groups whose sizes differ by at most
-// one from their mean, rounded up. Each member takes the group it ranks highest
-// that has room, in the order of the members' hashes, so that one member coming
-// or going moves few others. Each group is sorted by name.
+// Groups splits members into GroupCount groups. The capacity of a group is the mean
+// group size, rounded up. In the order of their hashes, members are assigned to the
+// group that they rank highest among those with free capacity, so that one member
+// that joins or leaves moves few others. Each group is sorted by name.
 func Groups(members []string, size int) [][]string {
 	count := GroupCount(len(members), size)
 	groups := make([][]string, count)
-	room := (len(members) + count - 1) / count
+	capacity := (len(members) + count - 1) / count
 	for _, name := range Rank("groups", members) {
-		g := preferredGroup(name, groups, room)
+		g := preferredGroup(name, groups, capacity)
 		groups[g] = append(groups[g], name)
 	}
 	for _, g := range groups {
@@ -34,12 +34,12 @@
 	return groups
 }
 
-// preferredGroup returns the group that name ranks highest among those with
-// fewer members than room.
-func preferredGroup(name string, groups [][]string, room int) int {
+// preferredGroup returns the group that name ranks highest among those with fewer
+// members than capacity.
+func preferredGroup(name string, groups [][]string, capacity int) int {
 	best, bestScore := -1, uint64(0)
 	for g := range groups {
-		if len(groups[g]) >= room {
+		if len(groups[g]) >= capacity {
 			continue
 		}
 		s := score(strconv.Itoa(g), name)
--- a/policy/ownership/ownership.go
+++ b/policy/ownership/ownership.go
@@ -1,6 +1,6 @@
-// Package ownership decides which nodes own a replica: the few nodes of the
-// replica's data centre through which all calls to it pass. The same members
-// give the same answer on every node, without a message.
+// Package ownership determines the owners of a replica: the few nodes of the replica's
+// data centre that send all requests to the replica. Nodes with the same member table
+// compute the same owners, without exchanging messages.
 package ownership
 
 import (
@@ -9,9 +9,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank orders the candidates for a replica by rendezvous hashing, highest
-// first. When one candidate comes or goes the order of the others stays, so
-// that only the replicas it ranked high for move.
+// Rank sorts the candidates for a replica by rendezvous hashing, highest first. A
+// candidate that is added or removed does not change the order of the others, so
+// that only the replicas of that candidate move.
 func Rank(replica string, candidates []string) []string {
 	type scored struct {
 		name  string
@@ -34,8 +34,8 @@
 	return names
 }
 
-// score is the weight of a candidate for a key. The zero byte keeps the pairs
-// ("ab", "c") and ("a", "bc") apart.
+// score is the weight of a candidate for a key. The zero byte distinguishes the pairs
+// ("ab", "c") and ("a", "bc").
 func score(key, candidate string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -45,13 +45,13 @@
 	return d.Sum64()
 }
 
-// ConnectionShare is the number of connections that each owner of a replica may open.
+// ConnectionShare returns the number of connections that each owner of a replica may
+// open.
 //
-// Owners disagree for seconds when one of them changes: the old owners and one
-// new one then hold connections at once. Dividing by one more than the owners
-// keeps their sum within the replica's limit during one change. A replica with
-// fewer connections than that gives each owner none; the sheet's check refuses
-// such a sheet.
+// Member tables differ for seconds when an owner changes, and the old owners and one
+// new owner then hold connections at the same time. Dividing by owners + 1 keeps the
+// sum within the replica's limit during one such change. The result is 0 for a replica
+// with fewer connections than that; sheet.Check refuses such a sheet.
 func ConnectionShare(connections, owners int) int {
 	if connections <= 0 || owners < 0 {
 		return 0
--- a/policy/ownership/ownership_test.go
+++ b/policy/ownership/ownership_test.go
@@ -16,12 +16,11 @@
 	return names
 }
 
-// fleetSizes are today's fleet and the target: nodes and replicas of one data
-// centre, of four and of eight.
+// fleetSizes are numbers of nodes and of replicas.
 var fleetSizes = []struct{ nodes, replicas int }{{2, 50}, {8, 200}, {94, 437}, {750, 3500}}
 
-// spread returns the mean and the largest number of replicas that one node owns.
-func spread(nodes []string, replicas, owners int) (mean, most float64) {
+// replicasPerNode returns the mean and the maximum number of replicas that a node owns.
+func replicasPerNode(nodes []string, replicas, owners int) (mean, most float64) {
 	load := make(map[string]int)
 	for r := range replicas {
 		for _, name := range Rank(fmt.Sprint("replica-", r), nodes)[:owners] {
@@ -37,10 +36,11 @@
 func TestOwnershipSpreadsEvenly(t *testing.T) {
 	c := qt.New(t)
 	for _, size := range fleetSizes {
-		mean, most := spread(nodesNamed(size.nodes), size.replicas, 2)
-		t.Logf("%d nodes, %d replicas, 2 owners: mean %.1f, most %.0f, ratio %.2f",
+		mean, most := replicasPerNode(nodesNamed(size.nodes), size.replicas, 2)
+		t.Logf("%d nodes, %d replicas, 2 owners: mean %.1f, maximum %.0f, ratio %.2f",
 			size.nodes, size.replicas, mean, most, most/mean)
-		// Few replicas a node leave the spread of random choice, sqrt(mean).
+		// With few replicas per node, the standard deviation of a random assignment
+		// is about sqrt(mean), so the limit is higher.
 		c.Check(most/mean < 1.3 || mean < 20 && most/mean < 2.3, qt.IsTrue)
 	}
 }
@@ -60,14 +60,13 @@
 				moved++
 			}
 		}
-		t.Logf("%d nodes: %d of %d replicas change owners with one node", size.nodes, owned, size.replicas)
+		t.Logf("%d nodes: %d of %d replicas change owners without one node", size.nodes, owned, size.replicas)
 		c.Check(moved, qt.Equals, 0)
 	}
 }
 
-// A node dies. For seconds one part of the fleet still knows it and another does
-// not, so the old owners and the new one hold connections at once. Their sum has
-// to stay within what the backend server accepts.
+// Guards against more connections than the backend server accepts while the member
+// tables of old and new owners differ.
 func TestConnectionSharesStayWithinTheLimitWhenViewsDiffer(t *testing.T) {
 	c := qt.New(t)
 	nodes := nodesNamed(8)
@@ -83,7 +82,7 @@
 				}
 				sum := len(holders) * ConnectionShare(limit, owners)
 				if sum > limit {
-					c.Fatalf("%s: %d owners hold %d connections of %d", replica, len(holders), sum, limit)
+					c.Fatalf("%s: %d owners hold %d connections, limit %d", replica, len(holders), sum, limit)
 				}
 			}
 		}
@@ -117,7 +116,7 @@
 				}
 			}
 		}
-		t.Logf("%d nodes by %d: %d groups of %d to %d, %d move with one node",
+		t.Logf("%d nodes, group size %d: %d groups of %d to %d, %d nodes move without one node",
 			tc.nodes, tc.size, len(before), fewest, most, moved)
 		c.Check(len(of), qt.Equals, tc.nodes)
 		c.Check(most <= (tc.nodes+tc.groups-1)/tc.groups, qt.IsTrue)
--- a/policy/ownership/release.go
+++ b/policy/ownership/release.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Release returns the nodes to give consents back to, once this node has learned
-// of a node above it that may use the replica: otherwise that node would wait
-// until the consents lapse, for as long as the longest request may take. inFlight
-// is the number of this node's own requests at the replica.
+// Release returns the nodes to send a release to, once a higher-ranked node may use
+// the replica. Without a release, that node would have to wait until this node's
+// consents expire. inFlight is the number of this node's requests to the replica in
+// flight.
 //
-// It returns none while a request of this node runs there, or may still start: a
-// granter that is told so may consent to another node at once. From this call on
-// the consents count no more, and neither do answers to earlier questions, so it
-// does not matter whether the release arrives. Send it with the number of a round
-// of its own, again in each round until Released notes an answer.
-func (c *Claims) Release(now time.Time, replica string, order Ranking, inFlight int, settle time.Duration) []Node {
-	if c.higherStopped(now, replica, order.Higher, settle) || !c.stopped(now, replica, inFlight) {
+// The result is empty while such a request is in flight or may still be sent, because
+// a granter may grant another claim as soon as the release arrives. The consents and
+// the answers to earlier claims are void after this call, so a lost release is
+// harmless. Use a separate round for releases. Each later call returns the node again
+// until RecordRelease records its answer.
+func (c *Claims) Release(now time.Time, replica string, ranking Ranking, inFlight int, maxRequestTime time.Duration) []Node {
+	if c.higherStopped(now, replica, ranking.Higher, maxRequestTime) || !c.stopped(now, replica, inFlight) {
 		return nil
 	}
 	var nodes []Node
-	for node, held := range c.consents[replica] {
-		if held.requestRound == 0 {
+	for node, current := range c.consents[replica] {
+		if current.requestRound == 0 {
 			continue
 		}
-		c.consents[replica][node] = consent{requestRound: held.requestRound}
+		c.consents[replica][node] = consent{requestRound: current.requestRound}
 		nodes = append(nodes, node)
 	}
 	if len(nodes) > 0 {
@@ -30,29 +30,29 @@
 	return nodes
 }
 
-// RecordRelease notes that a node has answered the release of a round.
+// RecordRelease records that a node has answered the release of a round.
 func (c *Claims) RecordRelease(replica string, by Node, round uint64) {
-	if held, ok := c.consents[replica][by]; ok && held.requestRound < round {
-		c.consents[replica][by] = consent{expires: held.expires}
+	if current, ok := c.consents[replica][by]; ok && current.requestRound < round {
+		c.consents[replica][by] = consent{expires: current.expires}
 	}
 }
 
-// EndGrant ends this node's consent to a claimant that gives it back. Only the
-// boot that was granted the claim can, and only for claims of lower rounds: a
-// release that arrives late or twice must not end the consent to a newer claim,
-// by which the claimant may be sending. A claim of a lower round that arrives
-// after its release is refused by Grant.
+// EndGrant ends this node's grant to a claimant that releases the replica. A release
+// ends only the grant of the boot that sent it, and only for claims of lower rounds.
+// Otherwise a late or repeated release would end the grant of a newer claim while the
+// claimant is sending. Grant refuses a claim of a lower round that arrives after the
+// release.
 //
-// The entry stays, lapsed: the claimant has asked this node, so it needs a new
-// consent before it uses the replica again.
-func (c *Claims) EndGrant(now time.Time, release Claim, order Ranking) {
-	known, ok := c.grants[release.Replica][release.Claimant]
-	if release.Round <= known.grantedRound || !ok && !ranksHigher(order, release.Claimant) {
+// The expired grant is retained, because the claimant needs a new consent of this node
+// before it uses the replica again.
+func (c *Claims) EndGrant(now time.Time, release Claim, ranking Ranking) {
+	current, ok := c.grants[release.Replica][release.Claimant]
+	if release.Round <= current.grantedRound || !ok && !ranksHigher(ranking, release.Claimant) {
 		return
 	}
-	known.releasedRound = max(known.releasedRound, release.Round)
-	if now.Before(known.expires) {
-		known.expires = now
+	current.releasedRound = max(current.releasedRound, release.Round)
+	if now.Before(current.expires) {
+		current.expires = now
 	}
-	c.storeGrant(release, known)
+	c.storeGrant(release, current)
 }
