--- a/policy/configstate/configstate_test.go
+++ b/policy/configstate/configstate_test.go
@@ -51,34 +51,34 @@
 
 // value returns the value of the key that a read returns. A stale read is behind
 // by that many versions.
-func (a *versionModel) value(behind int) *pb.Configuration {
-	return a.accepted[max(0, len(a.accepted)-1-behind)]
+func (m *versionModel) value(behind int) *pb.Configuration {
+	return m.accepted[max(0, len(m.accepted)-1-behind)]
 }
 
 // draft makes an operator read the key, possibly stale, and prepare a change.
-func (a *versionModel) draft(t *rapid.T) {
+func (m *versionModel) draft(t *rapid.T) {
 	behind := rapid.SampledFrom([]int{0, 0, 0, 1, 3}).Draw(t, "behind")
-	version := a.value(behind).GetVersion() + 1
-	a.drafts = append(a.drafts, configuration(version, fmt.Sprint("publish-", version, "-", len(a.drafts))))
+	version := m.value(behind).GetVersion() + 1
+	m.drafts = append(m.drafts, configuration(version, fmt.Sprint("publish-", version, "-", len(m.drafts))))
 }
 
 // write writes a draft, possibly again after a lost response. The platform accepts
 // it only if the draft replaces the current version.
-func (a *versionModel) write(t *rapid.T) {
-	if len(a.drafts) == 0 {
+func (m *versionModel) write(t *rapid.T) {
+	if len(m.drafts) == 0 {
 		return
 	}
-	draft := a.drafts[rapid.IntRange(0, len(a.drafts)-1).Draw(t, "draft")]
-	if a.unconditionalWrite || a.value(0).GetVersion() == draft.GetVersion()-1 {
-		a.accepted = append(a.accepted, draft)
+	draft := m.drafts[rapid.IntRange(0, len(m.drafts)-1).Draw(t, "draft")]
+	if m.unconditionalWrite || m.value(0).GetVersion() == draft.GetVersion()-1 {
+		m.accepted = append(m.accepted, draft)
 	}
 }
 
-func (a *versionModel) offer(n *modelNode, c *pb.Configuration) {
+func (m *versionModel) offer(n *modelNode, c *pb.Configuration) {
 	if c == nil {
 		return
 	}
-	if a.acceptsAnyVersion && c.GetVersion() > 0 {
+	if m.acceptsAnyVersion && c.GetVersion() > 0 {
 		n.state = New("f")
 	}
 	_, _ = n.state.Offer(c)
@@ -86,17 +86,17 @@
 
 // start selects the first configuration of a node that cannot reach the platform,
 // from the answers of some peers.
-func (a *versionModel) start(t *rapid.T, n *modelNode) {
+func (m *versionModel) start(t *rapid.T, n *modelNode) {
 	var answers []PeerVersion
-	for i, peer := range a.nodes {
+	for i, peer := range m.nodes {
 		if peer != n && rapid.Bool().Draw(t, "answers") {
 			answers = append(answers, PeerVersion{Peer: fmt.Sprint(i), Version: peer.state.Version()})
 		}
 	}
-	version, sources := StartVersion(answers, len(a.nodes)-1)
-	if a.startsOnOldest {
-		version, sources = a.accepted[0].GetVersion(), nil
-		_, _ = n.state.Offer(a.accepted[0])
+	version, sources := StartVersion(answers, len(m.nodes)-1)
+	if m.startsOnOldest {
+		version, sources = m.accepted[0].GetVersion(), nil
+		_, _ = n.state.Offer(m.accepted[0])
 	}
 	if version == 0 {
 		return
@@ -107,27 +107,27 @@
 			atLeast++
 		}
 	}
-	if atLeast < min(startQuorum, len(a.nodes)-1) {
+	if atLeast < min(startQuorum, len(m.nodes)-1) {
 		t.Fatalf("StartsOnlyOnWhatSeveralHold: start with version %d, which only %d of %d peers have reached",
 			version, atLeast, len(answers))
 	}
 	for _, source := range sources {
 		var i int
 		_, _ = fmt.Sscan(source, &i)
-		a.offer(n, a.nodes[i].state.Index().Raw)
+		m.offer(n, m.nodes[i].state.Index().Raw)
 	}
 }
 
 // check verifies the invariants.
-func (a *versionModel) check(t *rapid.T) {
+func (m *versionModel) check(t *rapid.T) {
 	ids := make(map[uint64]string)
-	for _, c := range a.accepted {
+	for _, c := range m.accepted {
 		if id, ok := ids[c.GetVersion()]; ok && id != c.GetPublishId() {
 			t.Fatalf("OneConfigurationAVersion: version %d is both %s and %s", c.GetVersion(), id, c.GetPublishId())
 		}
 		ids[c.GetVersion()] = c.GetPublishId()
 	}
-	for i, n := range a.nodes {
+	for i, n := range m.nodes {
 		version := n.state.Version()
 		if version < n.highest {
 			t.Fatalf("AcceptedConfigurationNeverReverts: node %d changed from version %d to %d", i, n.highest, version)
@@ -142,31 +142,31 @@
 
 func versionProperty(v brokenVariant) func(*rapid.T) {
 	return func(t *rapid.T) {
-		a := &versionModel{brokenVariant: v, accepted: []*pb.Configuration{configuration(1, "first")}}
+		m := &versionModel{brokenVariant: v, accepted: []*pb.Configuration{configuration(1, "first")}}
 		for range rapid.IntRange(2, 5).Draw(t, "nodes") {
-			a.nodes = append(a.nodes, &modelNode{state: New("f")})
+			m.nodes = append(m.nodes, &modelNode{state: New("f")})
 		}
 		node := func(t *rapid.T) *modelNode {
-			return a.nodes[rapid.IntRange(0, len(a.nodes)-1).Draw(t, "node")]
+			return m.nodes[rapid.IntRange(0, len(m.nodes)-1).Draw(t, "node")]
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"draft":  a.draft,
-			"write":  a.write,
-			"write2": a.write,
+			"draft":  m.draft,
+			"write":  m.write,
+			"write2": m.write,
 			"read": func(t *rapid.T) {
-				a.offer(node(t), a.value(rapid.IntRange(0, 5).Draw(t, "behind")))
+				m.offer(node(t), m.value(rapid.IntRange(0, 5).Draw(t, "behind")))
 			},
 			"pull": func(t *rapid.T) {
 				if from := node(t); from.state.Index() != nil {
-					a.offer(node(t), from.state.Index().Raw)
+					m.offer(node(t), from.state.Index().Raw)
 				}
 			},
 			"restart": func(t *rapid.T) {
 				n := node(t)
 				n.state, n.highest = New("f"), 0
-				a.start(t, n)
+				m.start(t, n)
 			},
-			"": a.check,
+			"": m.check,
 		})
 	}
 }
