--- a/policy/membership/fuzz_test.go
+++ b/policy/membership/fuzz_test.go
@@ -12,33 +12,34 @@
 	"github.com/carobmill/carobmill/policy/modeltest"
 )
 
-// broken is a variant that the check has to catch.
-type broken struct {
-	// listsLagLong has the platform's list lag longer than it is taken to.
+// brokenVariant selects a fault that the model must detect.
+type brokenVariant struct {
+	// listsLagLong makes the platform's list lag longer than Params.ListLag.
 	listsLagLong bool
-	// requestsCondemn takes a request, late or not, for proof that its sender runs.
-	requestsCondemn bool
-	// noRefutation has members ignore news about themselves.
+	// requestsProveLiveness treats a request, even a delayed one, like an answer to a
+	// ping.
+	requestsProveLiveness bool
+	// noRefutation makes members ignore changes about themselves.
 	noRefutation bool
-	// goneIsForgotten drops the memory of boots that are gone at once.
-	goneIsForgotten bool
+	// goneNotRetained removes the records of gone boots at once.
+	goneNotRetained bool
 }
 
-// vm is one place in the fleet: a name and an address, where one boot runs.
+// vm is a VM with a fixed name and address, on which at most one boot runs.
 type vm struct {
 	name, address string
-	table         *Table // nil while nothing runs there
+	table         *Table // nil while no process runs
 }
 
-// bootTruth is what really became of a boot.
-type bootTruth struct {
+// actualBoot is the actual state of a boot.
+type actualBoot struct {
 	table   *Table
 	running bool
 	left    bool
 }
 
-// rumour is a message under way.
-type rumour struct {
+// message is a message in flight.
+type message struct {
 	from    ID
 	address string
 	to      *vm
@@ -46,18 +47,18 @@
 }
 
 type fleetModel struct {
-	broken
-	now    time.Time
-	boots  uint64
-	vms    []*vm
-	truth  map[ID]*bootTruth
-	late   []rumour
-	listed []listing
-	gone   map[*Table]map[ID]time.Time
+	brokenVariant
+	now     time.Time
+	boots   uint64
+	vms     []*vm
+	actual  map[ID]*actualBoot
+	delayed []message
+	vmLists []timedVMList
+	gone    map[*Table]map[ID]time.Time
 }
 
-// listing is the true VM list at a time.
-type listing struct {
+// timedVMList is the actual VM list at a point in time.
+type timedVMList struct {
 	at   time.Time
 	list []ListedVM
 }
@@ -66,56 +67,57 @@
 	f.boots++
 	self := Member{Name: v.name, Boot: f.boots, DataCentre: "a", PeerAddress: v.address}
 	v.table = New(self, f.params(), rand.New(rand.NewPCG(f.boots, 3)))
-	f.truth[v.table.Self().ID()] = &bootTruth{table: v.table, running: true}
+	f.actual[v.table.Self().ID()] = &actualBoot{table: v.table, running: true}
 	f.gone[v.table] = make(map[ID]time.Time)
-	f.record()
+	f.recordVMList()
 }
 
 func (f *fleetModel) params() Params {
 	p := DefaultParams()
-	if f.goneIsForgotten {
+	if f.goneNotRetained {
 		p.GoneRetention = 0
 	}
 	return p
 }
 
-// record keeps the VM list of this moment.
-func (f *fleetModel) record() {
+// recordVMList records the current VM list.
+func (f *fleetModel) recordVMList() {
 	var list []ListedVM
 	for _, v := range f.vms {
 		if v.table != nil {
 			list = append(list, ListedVM{Name: v.name})
 		}
 	}
-	f.listed = append(f.listed, listing{f.now, list})
+	f.vmLists = append(f.vmLists, timedVMList{f.now, list})
 }
 
 func (f *fleetModel) stop(v *vm, left bool) {
-	truth := f.truth[v.table.Self().ID()]
-	truth.running, truth.left = false, left
+	boot := f.actual[v.table.Self().ID()]
+	boot.running, boot.left = false, left
 	v.table = nil
-	f.record()
+	f.recordVMList()
 }
 
-// take has the node at a VM receive changes.
-func (f *fleetModel) take(t *rapid.T, v *vm, changes []*pb.MemberChange) {
+// applyAll applies changes to the table of a VM.
+func (f *fleetModel) applyAll(t *rapid.T, v *vm, changes []*pb.MemberChange) {
 	for _, c := range changes {
 		if f.noRefutation && c.GetNode() == v.name {
 			continue
 		}
 		if v.table.Apply(f.now, c) == DeclaredGone {
-			t.Fatalf("GoneIsTrue: %s runs and hears that it is gone", v.name)
+			t.Fatalf("GoneIsTrue: %s is running and is reported as gone", v.name)
 		}
 	}
 }
 
-func (f *fleetModel) message(from *Table, about ID) []*pb.MemberChange {
+// changesFor returns the changes that a message to a receiver carries.
+func (f *fleetModel) changesFor(from *Table, receiver ID) []*pb.MemberChange {
 	changes := append(from.Changes(), from.Self().Change())
 	if len(changes) > from.params.MaxChanges+1 {
 		panic("a message carries too many changes")
 	}
-	if news := from.NonAliveChange(about); news != nil {
-		changes = append(changes, news)
+	if change := from.NonAliveChange(receiver); change != nil {
+		changes = append(changes, change)
 	}
 	return changes
 }
@@ -123,31 +125,31 @@
 // ping sends a ping from one VM to a member at its address. lost is 0 when both
 // messages arrive, 1 when the request is lost, 2 when the answer is.
 func (f *fleetModel) ping(t *rapid.T, from *vm, target Member, lost int) {
-	request := f.message(from.table, target.ID())
+	request := f.changesFor(from.table, target.ID())
 	to := f.at(target.PeerAddress)
 	if lost == 1 || to == nil || to.table == nil {
 		from.table.PingFailed(f.now, target.ID())
 		return
 	}
 	sender := from.table.Self().ID()
-	f.receive(t, rumour{from: sender, address: from.address, to: to, changes: request})
-	answer := f.message(to.table, sender)
+	f.receive(t, message{from: sender, address: from.address, to: to, changes: request})
+	answer := f.changesFor(to.table, sender)
 	if lost == 2 {
-		f.late = append(f.late, rumour{from: to.table.Self().ID(), address: to.address, to: from, changes: answer})
+		f.delayed = append(f.delayed, message{from: to.table.Self().ID(), address: to.address, to: from, changes: answer})
 		from.table.PingFailed(f.now, target.ID())
 		return
 	}
-	f.take(t, from, answer)
+	f.applyAll(t, from, answer)
 	from.table.PingAnswered(f.now, to.table.Self().ID(), target.PeerAddress)
 }
 
-func (f *fleetModel) receive(t *rapid.T, r rumour) {
-	if r.to.table == nil {
+func (f *fleetModel) receive(t *rapid.T, m message) {
+	if m.to.table == nil {
 		return
 	}
-	f.take(t, r.to, r.changes)
-	if f.requestsCondemn {
-		r.to.table.PingAnswered(f.now, r.from, r.address)
+	f.applyAll(t, m.to, m.changes)
+	if f.requestsProveLiveness {
+		m.to.table.PingAnswered(f.now, m.from, m.address)
 	}
 }
 
@@ -168,38 +170,39 @@
 	}
 }
 
-// list gives a node the VM list of up to lag ago.
-func (f *fleetModel) list(v *vm, lag time.Duration) {
-	seen := f.listed[0]
-	for _, l := range f.listed {
+// applyVMList applies the VM list as it was lag ago to the table of a VM.
+func (f *fleetModel) applyVMList(v *vm, lag time.Duration) {
+	lagging := f.vmLists[0]
+	for _, l := range f.vmLists {
 		if !l.at.After(f.now.Add(-lag)) {
-			seen = l
+			lagging = l
 		}
 	}
-	v.table.ApplyVMList(f.now, seen.list)
+	v.table.ApplyVMList(f.now, lagging.list)
 }
 
-// check holds what must always be true.
+// check verifies the invariants.
 func (f *fleetModel) check(t *rapid.T) {
 	for _, v := range f.vms {
 		if v.table == nil {
 			continue
 		}
 		for id, r := range v.table.records {
-			truth := f.truth[id]
+			boot := f.actual[id]
 			switch {
-			case r.State == gone && truth.running:
-				t.Fatalf("GoneIsTrue: %s counts %v as gone, which runs", v.name, id)
-			case r.Incarnation > truth.table.Self().Incarnation:
-				t.Fatalf("OnlyTheMemberRaisesItsIncarnation: %s has %v at %d", v.name, id, r.Incarnation)
-			case r.State == leaving && truth.table.Self().State < leaving:
-				t.Fatalf("LeavingIsAnnounced: %s counts %v as leaving", v.name, id)
+			case r.State == gone && boot.running:
+				t.Fatalf("GoneIsTrue: %s records %v as gone while it is running", v.name, id)
+			case r.Incarnation > boot.table.Self().Incarnation:
+				t.Fatalf("OnlyTheMemberRaisesItsIncarnation: %s records %v with incarnation %d, above the member's own",
+					v.name, id, r.Incarnation)
+			case r.State == leaving && boot.table.Self().State < leaving:
+				t.Fatalf("LeavingIsAnnounced: %s records %v as leaving, which the member did not announce", v.name, id)
 			}
-			if since, was := f.gone[v.table][id]; was && r.State != gone && f.now.Sub(since) < DefaultParams().GoneRetention {
-				t.Fatalf("GoneIsFinal: %s counts %v as %v again", v.name, id, r.State)
+			if since, wasGone := f.gone[v.table][id]; wasGone && r.State != gone && f.now.Sub(since) < DefaultParams().GoneRetention {
+				t.Fatalf("GoneIsFinal: %s records %v as %v after it was gone", v.name, id, r.State)
 			}
 			if r.State == gone {
-				if _, was := f.gone[v.table][id]; !was {
+				if _, wasGone := f.gone[v.table][id]; !wasGone {
 					f.gone[v.table][id] = f.now
 				}
 			}
@@ -207,20 +210,20 @@
 	}
 }
 
-// settle ends the faults, lets every node ping every other one a few times, and
-// checks that they agree.
-func (f *fleetModel) settle(t *rapid.T) {
+// checkConvergence lets every node ping every other node several times without
+// faults, and verifies that all tables agree.
+func (f *fleetModel) checkConvergence(t *rapid.T) {
 	for range 5 {
 		for _, v := range f.vms {
 			if v.table == nil {
 				continue
 			}
-			// Seeds: a node always tries every address that it was told at start.
+			// A node retries the seed addresses of its settings indefinitely.
 			for _, other := range f.vms {
 				if other == v || other.table == nil {
 					continue
 				}
-				f.take(t, v, other.table.AllChanges())
+				f.applyAll(t, v, other.table.AllChanges())
 				f.ping(t, v, other.table.Self(), 0)
 			}
 		}
@@ -234,33 +237,33 @@
 			}
 			m, known := v.table.Lookup(other.table.Self().ID())
 			if !known || m.State != other.table.Self().State {
-				t.Fatalf("EveryoneIsFoundAgain: %s counts %s as %v", v.name, other.name, m.State)
+				t.Fatalf("EveryoneIsFoundAgain: %s records %s as %v", v.name, other.name, m.State)
 			}
 			if boots := v.table.ByName(other.name); len(boots) != 1 {
-				t.Fatalf("OneBootAName: %s knows %v", v.name, boots)
+				t.Fatalf("OneBootAName: %s records the boots %v", v.name, boots)
 			}
 		}
 	}
 }
 
-func membershipLife(b broken) func(*rapid.T) {
+func membershipProperty(b brokenVariant) func(*rapid.T) {
 	return func(t *rapid.T) {
 		f := &fleetModel{
-			broken: b,
-			now:    time.Unix(1000, 0),
-			truth:  make(map[ID]*bootTruth),
-			gone:   make(map[*Table]map[ID]time.Time),
+			brokenVariant: b,
+			now:           time.Unix(1000, 0),
+			actual:        make(map[ID]*actualBoot),
+			gone:          make(map[*Table]map[ID]time.Time),
 		}
 		for i := range rapid.IntRange(2, 4).Draw(t, "nodes") {
 			f.vms = append(f.vms, &vm{name: fmt.Sprint("n", i), address: fmt.Sprint("10.0.0.", i)})
 		}
-		f.record()
+		f.recordVMList()
 		for _, v := range f.vms {
 			f.boot(v)
 		}
 		for _, v := range f.vms {
 			for _, other := range f.vms {
-				f.take(t, v, other.table.AllChanges())
+				f.applyAll(t, v, other.table.AllChanges())
 			}
 		}
 		running := func(do func(*rapid.T, *vm)) func(*rapid.T) {
@@ -280,9 +283,9 @@
 			"ping2": ping,
 			"ping3": ping,
 			"late": func(t *rapid.T) {
-				if len(f.late) > 0 {
-					i := rapid.IntRange(0, len(f.late)-1).Draw(t, "which")
-					f.receive(t, f.late[i])
+				if len(f.delayed) > 0 {
+					i := rapid.IntRange(0, len(f.delayed)-1).Draw(t, "which")
+					f.receive(t, f.delayed[i])
 				}
 			},
 			"pass": func(t *rapid.T) {
@@ -314,7 +317,7 @@
 				f.boot(v)
 				for _, other := range f.vms {
 					if other != v && other.table != nil {
-						f.take(t, v, other.table.AllChanges())
+						f.applyAll(t, v, other.table.AllChanges())
 						break
 					}
 				}
@@ -324,33 +327,32 @@
 				if f.listsLagLong {
 					lags = []int{200, 300}
 				}
-				f.list(v, time.Duration(rapid.SampledFrom(lags).Draw(t, "lag s"))*time.Second)
+				f.applyVMList(v, time.Duration(rapid.SampledFrom(lags).Draw(t, "lag s"))*time.Second)
 			}),
 			"": f.check,
 		})
-		f.settle(t)
+		f.checkConvergence(t)
 		f.check(t)
 	}
 }
 
-// Messages are lost, late and repeated; VMs stop, are replaced and leave; the VM
-// list lags. A node that were wrongly counted as gone would lose what it holds
-// while it uses it, and one that were forgotten would get no work again. A long
-// run with a fresh seed:
+// Guards against a running node that is marked as gone, whose replicas others would
+// use at the same time, and against a node that stays excluded, under lost, delayed
+// and repeated messages, crashes, replacements, leaves and lagging VM lists. Longer
+// run with a new seed:
 //
 //	go test ./policy/membership -run LossAndReplacement -rapid.checks=200000 -rapid.seed=$RANDOM
 func TestMembershipConvergesAfterLossAndReplacement(t *testing.T) {
-	rapid.Check(t, membershipLife(broken{}))
+	rapid.Check(t, membershipProperty(brokenVariant{}))
 }
 
-// The seed is the one of modeltest.
 func TestMembershipCheckCatchesBrokenVariants(t *testing.T) {
-	for name, b := range map[string]broken{
-		"lists lag longer than stated": {listsLagLong: true},
-		"late requests condemn":        {requestsCondemn: true},
-		"no refutation":                {noRefutation: true},
-		"gone boots are forgotten":     {goneIsForgotten: true},
+	for name, b := range map[string]brokenVariant{
+		"VM lists lag longer than the limit": {listsLagLong: true},
+		"requests count as answers":          {requestsProveLiveness: true},
+		"reports are not refuted":            {noRefutation: true},
+		"gone boots are not retained":        {goneNotRetained: true},
 	} {
-		t.Run(name, func(t *testing.T) { modeltest.ExpectFailure(t, "", membershipLife(b)) })
+		t.Run(name, func(t *testing.T) { modeltest.ExpectFailure(t, "", membershipProperty(b)) })
 	}
 }
--- a/policy/membership/list.go
+++ b/policy/membership/list.go
@@ -7,20 +7,18 @@
 	Name        string
 	DataCentre  string
 	PeerAddress string
-	// Leaving is true when the platform is about to take the VM away.
+	// Leaving is true when the platform is about to remove the VM.
 	Leaving bool
 }
 
-// ApplyVMList takes in the platform's VM list. The list lags, so it never makes a
-// member alive or dead. It confirms one thing: a member that answers nobody and
-// whose VM the platform no longer lists is gone.
+// ApplyVMList marks dead members as gone when the platform no longer lists their
+// VMs. It makes no other state change, because the list lags.
 //
-// A VM that has just started may not be listed yet, and an older list may follow
-// a newer one. Were it counted as gone while it is merely cut off, two nodes
-// could hold what only one may hold. So the list counts only for members that
-// this node has known for longer than the list lags: whatever moment the list
-// shows, they had started by then. A list that does not name this node itself is
-// too old to count.
+// A list may predate the start of a VM, and an older list may follow a newer one.
+// If a partitioned member were marked as gone by such a list, two nodes could use a
+// cold replica at the same time. The list is therefore applied only to members that
+// this node has recorded for longer than Params.ListLag. A list without this node
+// is outdated and ignored.
 func (t *Table) ApplyVMList(now time.Time, list []ListedVM) {
 	listed := make(map[string]bool, len(list))
 	for _, vm := range list {
@@ -30,11 +28,11 @@
 		return
 	}
 	absent := t.matching(func(r *record) bool {
-		return r.State == dead && !listed[r.Name] && now.Sub(r.known) > t.params.ListLag
+		return r.State == dead && !listed[r.Name] && now.Sub(r.firstSeen) > t.params.ListLag
 	})
 	for _, r := range absent {
 		m := r.Member
 		m.State = gone
-		t.set(now, r, m, "dead and no longer listed by the platform")
+		t.setStateAndGossip(now, r, m, "dead and no longer listed by the platform")
 	}
 }
