--- a/node/sheetfile/faulty_test.go
+++ b/node/sheetfile/faulty_test.go
@@ -51,7 +51,7 @@
 			`s.yaml: fleet: is empty .*, allowed is text .*`},
 		{"alias", "region: kenya", "region: *k", `s.yaml: syntax: .*`},
 		{"duplicate replica", "name: timing-00-b", "name: timing-00-a",
-			`s.yaml: services\[0\].generations\[0\].shards\[0\].replicas\[1\].name: "timing-00-a" stands at .*replicas\[0\] too, .*`},
+			`s.yaml: services\[0\].generations\[0\].shards\[0\].replicas\[1\].name: "timing-00-a" is also listed at .*replicas\[0\], .*`},
 		{"duplicate address", "127.0.0.1:21001", "127.0.0.1:21000",
 			`s.yaml: .*shards\[0\].replicas\[1\].address: 127.0.0.1:21000 is the address of .*`},
 		{"host name", "127.0.0.1:21001", "backend:21001",
--- a/policy/sheet/check.go
+++ b/policy/sheet/check.go
@@ -11,22 +11,23 @@
 	"github.com/carobmill/carobmill/policy/rule"
 )
 
-// Fault is one thing wrong in a sheet.
+// Fault is one validation error in a sheet.
 type Fault = rule.Fault
 
-// namePattern keeps names printable and safe in URLs, headers and metric tags.
+// namePattern restricts names to characters that are safe in URLs, headers and
+// metric tags.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
 const nameAllowed = "1 to 63 letters, digits, dots, hyphens and underscores, starting with a letter or digit"
 
-// Check returns every fault of a sheet, after its defaults are filled in.
+// Check fills in the defaults of a copy of the sheet and returns all its faults.
 func Check(s *pb.Sheet) []Fault {
 	c := &checker{
 		sheet:       WithDefaults(s),
 		dataCentres: make(map[string]bool),
 		services:    make(map[string]bool),
-		replicas:    make(map[string]located),
-		addresses:   make(map[string]located),
+		replicas:    make(map[string]replicaEntry),
+		addresses:   make(map[string]replicaEntry),
 	}
 	c.faults = rule.Check(c.sheet)
 	c.name("fleet", c.sheet.GetFleet())
@@ -37,8 +38,8 @@
 	return c.faults
 }
 
-// located remembers where the sheet first gives a replica.
-type located struct {
+// replicaEntry is the first occurrence of a replica in the sheet.
+type replicaEntry struct {
 	path    string
 	service string
 	replica *pb.Replica
@@ -49,27 +50,28 @@
 	faults      []Fault
 	dataCentres map[string]bool
 	services    map[string]bool
-	// Replicas of all services by name and by address.
-	replicas  map[string]located
-	addresses map[string]located
+	// replicas and addresses index the replicas of all services by name and by
+	// address.
+	replicas  map[string]replicaEntry
+	addresses map[string]replicaEntry
 }
 
 func (c *checker) add(path, allowed, format string, args ...any) {
 	c.faults = append(c.faults, Fault{Path: path, Problem: fmt.Sprintf(format, args...), Allowed: allowed})
 }
 
-// name checks a name's form. An absent one is reported by the schema's rules.
+// name validates the format of a name. rule.Check reports a missing name.
 func (c *checker) name(path, name string) {
 	if name != "" && !namePattern.MatchString(name) {
 		c.add(path, nameAllowed, "is %q", name)
 	}
 }
 
-// unique checks a name's form and that it stands once in its list.
-func (c *checker) unique(path, name string, seen map[string]bool) {
+// uniqueName validates the format of a name and that seen does not contain it.
+func (c *checker) uniqueName(path, name string, seen map[string]bool) {
 	c.name(path, name)
 	if name != "" && seen[name] {
-		c.add(path, "each name once in its list", "%q is given twice", name)
+		c.add(path, "names in a list must be unique", "%q is given twice", name)
 	}
 	seen[name] = true
 }
@@ -77,17 +79,17 @@
 func (c *checker) checkDataCentres() {
 	for i, dc := range c.sheet.GetDataCentres() {
 		path := rule.Index("data_centres", i)
-		c.unique(rule.Join(path, "name"), dc.GetName(), c.dataCentres)
+		c.uniqueName(rule.Join(path, "name"), dc.GetName(), c.dataCentres)
 		c.name(rule.Join(path, "region"), dc.GetRegion())
 	}
 }
 
 func (c *checker) checkService(path string, svc *pb.Service) {
-	c.unique(rule.Join(path, "name"), svc.GetName(), c.services)
+	c.uniqueName(rule.Join(path, "name"), svc.GetName(), c.services)
 	c.checkLimits(path, svc)
 	classes := make(map[string]bool)
 	for i, class := range svc.GetClasses() {
-		c.unique(rule.Join(rule.Index(rule.Join(path, "classes"), i), "name"), class.GetName(), classes)
+		c.uniqueName(rule.Join(rule.Index(rule.Join(path, "classes"), i), "name"), class.GetName(), classes)
 	}
 	c.checkGenerations(rule.Join(path, "generations"), svc)
 }
@@ -103,19 +105,19 @@
 	}
 	if svc.GetSilentColdStart() && svc.GetMaxBatch() > 1 {
 		c.add(rule.Join(path, "max_batch"), "0 or 1 with silent_cold_start",
-			"is %d, more than a replica bears that has turned cold unnoticed", svc.GetMaxBatch())
+			"is %d, above the concurrency limit of a replica in a silent cold start", svc.GetMaxBatch())
 	}
 	owners := c.sheet.GetTuning().GetOwners()
 	if svc.GetConnections() > 0 && ConnectionShare(svc.GetConnections(), owners) < 1 {
 		c.add(rule.Join(path, "connections"), fmt.Sprintf("at least %d with tuning.owners %d", owners+1, owners),
-			"is %d, which leaves an owner no connection", svc.GetConnections())
+			"is %d, too few for each owner to open one", svc.GetConnections())
 	}
 }
 
-// ConnectionShare is how many connections each owner of a replica may open. The
-// divisor is one more than the owners: while nodes disagree about one change of
-// ownership, a former owner and its successor both hold a share, and the sum
-// still stays within what the backend server accepts.
+// ConnectionShare returns the number of connections that each owner of a replica
+// may open. The divisor is owners + 1. Otherwise the owners would exceed the
+// connection limit of the backend server during a change of ownership, when the
+// former owner and its successor both hold a share.
 func ConnectionShare(connections, owners uint32) uint32 {
 	return connections / (owners + 1)
 }
@@ -126,7 +128,7 @@
 	for i, gen := range svc.GetGenerations() {
 		at := rule.Index(path, i)
 		if ids[gen.GetId()] {
-			c.add(rule.Join(at, "id"), "each generation has its own id", "%d is given twice", gen.GetId())
+			c.add(rule.Join(at, "id"), "generation ids must be unique", "%d is given twice", gen.GetId())
 		}
 		if starts[gen.GetFirstSnapshot()] && gen.GetFirstSnapshot() > 0 {
 			c.add(rule.Join(at, "first_snapshot"), "a snapshot belongs to one generation",
@@ -143,7 +145,7 @@
 	inGeneration := make(map[string]string)
 	for i, shard := range gen.GetShards() {
 		at := rule.Index(path, i)
-		c.unique(rule.Join(at, "name"), shard.GetName(), shards)
+		c.uniqueName(rule.Join(at, "name"), shard.GetName(), shards)
 		for j, replica := range shard.GetReplicas() {
 			c.checkReplica(rule.Index(rule.Join(at, "replicas"), j), svc, replica, inGeneration)
 		}
@@ -154,7 +156,7 @@
 	name := rule.Join(path, "name")
 	c.name(name, r.GetName())
 	if first, ok := inGeneration[r.GetName()]; ok && r.GetName() != "" {
-		c.add(name, "a replica stands once in a generation", "%q stands at %s too", r.GetName(), first)
+		c.add(name, "a replica may be listed once in a generation", "%q is also listed at %s", r.GetName(), first)
 		return
 	}
 	inGeneration[r.GetName()] = path
@@ -175,22 +177,22 @@
 	}
 }
 
-// checkIdentity holds a replica against the same name and address elsewhere in
-// the sheet: another generation may name it again, unchanged. Two names for one
-// address would count its slots and connections twice.
+// checkIdentity compares a replica with earlier entries of the same name or
+// address. Another generation may list the same replica again, unchanged. Two
+// names for one address would count its slots and connections twice.
 func (c *checker) checkIdentity(path string, svc *pb.Service, r *pb.Replica) {
-	here := located{path: path, service: svc.GetName(), replica: r}
-	if known, ok := c.replicas[r.GetName()]; ok && r.GetName() != "" {
-		if known.service != svc.GetName() || !proto.Equal(known.replica, r) {
-			c.add(path, "the same service, data centre, address and state wherever a replica is named",
-				"replica %q differs from %s", r.GetName(), known.path)
+	entry := replicaEntry{path: path, service: svc.GetName(), replica: r}
+	if first, ok := c.replicas[r.GetName()]; ok && r.GetName() != "" {
+		if first.service != svc.GetName() || !proto.Equal(first.replica, r) {
+			c.add(path, "every entry of a replica must have the same service, data centre, address and state",
+				"replica %q differs from %s", r.GetName(), first.path)
 		}
 		return
 	}
-	c.replicas[r.GetName()] = here
-	if known, ok := c.addresses[r.GetAddress()]; ok && r.GetAddress() != "" {
-		c.add(rule.Join(path, "address"), "each replica has its own address", "%s is the address of %s too", r.GetAddress(), known.path)
+	c.replicas[r.GetName()] = entry
+	if first, ok := c.addresses[r.GetAddress()]; ok && r.GetAddress() != "" {
+		c.add(rule.Join(path, "address"), "addresses of replicas must be unique", "%s is the address of %s too", r.GetAddress(), first.path)
 		return
 	}
-	c.addresses[r.GetAddress()] = here
+	c.addresses[r.GetAddress()] = entry
 }
--- a/policy/sheet/compare.go
+++ b/policy/sheet/compare.go
@@ -7,47 +7,49 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// Diff is what a new sheet changes against an old one. Names are in rising
-// order.
+// Diff describes the changes from an old sheet to a new one. Names are sorted in
+// ascending order.
 type Diff struct {
-	// Removed, Added and Changed name replicas. A replica changes with its data
-	// centre, address, state, shards or service.
+	// Removed, Added and Changed contain replica names. A replica has changed if
+	// its data centre, address, state, shards or service differ.
 	Removed []string
 	Added   []string
 	Changed []string
-	// RemovedShards and AddedShards name shards as service/generation/shard.
+	// RemovedShards and AddedShards contain names of the form
+	// service/generation/shard.
 	RemovedShards []string
 	AddedShards   []string
-	// Other lists every further change, each as a field's path and its values.
+	// Other lists all other changes, each as a field path with the old and new
+	// values.
 	Other []string
-	// Unserved names shards that lose their last replica in service.
+	// Unserved lists the shards that lose their last replica in service.
 	Unserved []string
 	Loss     Loss
 }
 
-// Empty reports whether the two sheets are the same.
+// Empty reports whether Compare found no difference.
 func (d Diff) Empty() bool {
 	return len(d.Removed)+len(d.Added)+len(d.Changed)+len(d.RemovedShards)+len(d.AddedShards)+len(d.Other) == 0
 }
 
-// Compare returns what changes from old to next. A nil old sheet means that
-// nothing was accepted before.
+// Compare returns the changes from old to next. old is nil if no sheet was
+// accepted before.
 func Compare(old, next *pb.Sheet) Diff {
 	if old == nil {
 		old = &pb.Sheet{}
 	}
 	old, next = WithDefaults(old), WithDefaults(next)
-	was, is := collect(old), collect(next)
+	before, after := collect(old), collect(next)
 	var d Diff
-	d.Removed, d.Added, d.Changed = difference(was.replicas, is.replicas)
-	d.RemovedShards, d.AddedShards, _ = difference(was.shards, is.shards)
+	d.Removed, d.Added, d.Changed = difference(before.replicas, after.replicas)
+	d.RemovedShards, d.AddedShards, _ = difference(before.shards, after.shards)
 	d.Other = fieldChanges("", old.ProtoReflect(), next.ProtoReflect())
 	d.Loss = measureLoss(old, next)
 	d.Unserved = unserved(old, next)
 	return d
 }
 
-// entry is a replica or a shard in a form that can be compared.
+// entry is the comparable form of a replica or a shard.
 type entry struct {
 	service string
 	detail  string
@@ -80,18 +82,18 @@
 	}
 }
 
-func difference(was, is map[string]entry) (removed, added, changed []string) {
-	for name, e := range was {
-		now, ok := is[name]
+func difference(before, after map[string]entry) (removed, added, changed []string) {
+	for name, e := range before {
+		current, ok := after[name]
 		switch {
 		case !ok:
 			removed = append(removed, name)
-		case now != e:
+		case current != e:
 			changed = append(changed, name)
 		}
 	}
-	for name := range is {
-		if _, ok := was[name]; !ok {
+	for name := range after {
+		if _, ok := before[name]; !ok {
 			added = append(added, name)
 		}
 	}
--- a/policy/sheet/compile.go
+++ b/policy/sheet/compile.go
@@ -10,8 +10,8 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// Compile builds the configuration that a sheet becomes. It fails when Check
-// finds a fault or the version is 0.
+// Compile builds a configuration from a sheet. It returns an error if Check finds
+// a fault or the version is 0.
 func Compile(s *pb.Sheet, version uint64, publishID, by string) (*pb.Configuration, error) {
 	if version == 0 {
 		return nil, errors.New("configuration version must be at least 1")
@@ -33,7 +33,7 @@
 	}, nil
 }
 
-// Digest is the SHA-256 of a sheet's deterministic encoding, in hexadecimal.
+// Digest returns the SHA-256 of a sheet's deterministic encoding, in hexadecimal.
 func Digest(s *pb.Sheet) (string, error) {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(s)
 	if err != nil {
--- a/policy/sheet/defaults.go
+++ b/policy/sheet/defaults.go
@@ -1,6 +1,6 @@
-// Package sheet turns the operators' sheet into a configuration: it fills in
-// the defaults, checks what the schema cannot express, compiles, and compares
-// two sheets.
+// Package sheet compiles a sheet, which operators write, into a configuration. It
+// fills in defaults, validates what the schema cannot express, and compares two
+// sheets.
 package sheet
 
 import (
@@ -9,11 +9,11 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// Defaults of fields that a sheet may leave out. slots, connections, classes
-// and generations have none: they are facts that only the operators know.
+// Defaults of optional fields. slots, connections, classes and generations have
+// no default because they describe the operators' deployment.
 const (
 	DefaultMaxLossPercent = 20
-	// DefaultColdInFlight is the least that still lets a cold replica warm up.
+	// DefaultColdInFlight is the minimum that lets a cold replica warm up.
 	DefaultColdInFlight  = 1
 	DefaultDeadlineMs    = 1000
 	DefaultMaxDeadlineMs = 10000
@@ -24,8 +24,8 @@
 	DefaultWatchers      = 2
 )
 
-// WithDefaults returns a copy of the sheet with every unset field filled in.
-// Applied to its own result it changes nothing.
+// WithDefaults returns a copy of the sheet with defaults in all unset fields. It
+// is idempotent.
 func WithDefaults(s *pb.Sheet) *pb.Sheet {
 	out := proto.CloneOf(s)
 	if out.MaxLossPercent == nil {
@@ -37,15 +37,15 @@
 	out.Tuning.Owners = orDefault(out.Tuning.Owners, DefaultOwners)
 	out.Tuning.Watchers = orDefault(out.Tuning.Watchers, DefaultWatchers)
 	for _, dc := range out.DataCentres {
-		dc.State = inServiceUnlessSet(dc.State)
+		dc.State = lifecycleOrDefault(dc.State)
 	}
 	for _, svc := range out.Services {
-		serviceDefaults(svc)
+		setServiceDefaults(svc)
 	}
 	return out
 }
 
-func serviceDefaults(svc *pb.Service) {
+func setServiceDefaults(svc *pb.Service) {
 	if svc.Preference == pb.Preference_PREFERENCE_UNSPECIFIED {
 		svc.Preference = pb.Preference_PREFERENCE_COVERAGE
 	}
@@ -69,7 +69,7 @@
 	for _, gen := range svc.Generations {
 		for _, shard := range gen.Shards {
 			for _, replica := range shard.Replicas {
-				replica.State = inServiceUnlessSet(replica.State)
+				replica.State = lifecycleOrDefault(replica.State)
 			}
 		}
 	}
@@ -82,7 +82,7 @@
 	return value
 }
 
-func inServiceUnlessSet(state pb.Lifecycle) pb.Lifecycle {
+func lifecycleOrDefault(state pb.Lifecycle) pb.Lifecycle {
 	if state == pb.Lifecycle_LIFECYCLE_UNSPECIFIED {
 		return pb.Lifecycle_LIFECYCLE_IN_SERVICE
 	}
--- a/policy/sheet/fields.go
+++ b/policy/sheet/fields.go
@@ -8,8 +8,8 @@
 	"github.com/carobmill/carobmill/policy/rule"
 )
 
-// Fields by which the entries of a list are told apart, and those whose change
-// Compare reports in full elsewhere.
+// nameField and idField identify the entries of a list. fieldChanges skips
+// shardsField and replicasField, which Compare reports separately.
 const (
 	nameField     = "name"
 	idField       = "id"
@@ -17,43 +17,43 @@
 	replicasField = "replicas"
 )
 
-// fieldChanges lists the fields that differ between two messages of one type,
-// without shards and replicas. Entries of lists are matched by name or id.
-func fieldChanges(path string, was, is protoreflect.Message) []string {
+// fieldChanges lists the fields that differ between two messages of the same
+// type, except shards and replicas. Entries of lists are matched by name or id.
+func fieldChanges(path string, before, after protoreflect.Message) []string {
 	var out []string
-	fields := was.Descriptor().Fields()
+	fields := before.Descriptor().Fields()
 	for i := range fields.Len() {
 		fd := fields.Get(i)
 		at := rule.Join(path, string(fd.Name()))
 		switch {
 		case fd.Name() == shardsField || fd.Name() == replicasField:
 		case fd.IsList():
-			out = append(out, listChanges(at, was.Get(fd).List(), is.Get(fd).List())...)
+			out = append(out, listChanges(at, before.Get(fd).List(), after.Get(fd).List())...)
 		case fd.Kind() == protoreflect.MessageKind:
-			out = append(out, fieldChanges(at, was.Get(fd).Message(), is.Get(fd).Message())...)
-		case !was.Get(fd).Equal(is.Get(fd)):
-			out = append(out, fmt.Sprintf("%s: %s -> %s", at, format(fd, was.Get(fd)), format(fd, is.Get(fd))))
+			out = append(out, fieldChanges(at, before.Get(fd).Message(), after.Get(fd).Message())...)
+		case !before.Get(fd).Equal(after.Get(fd)):
+			out = append(out, fmt.Sprintf("%s: %s -> %s", at, format(fd, before.Get(fd)), format(fd, after.Get(fd))))
 		}
 	}
 	return out
 }
 
-func listChanges(path string, was, is protoreflect.List) []string {
+func listChanges(path string, before, after protoreflect.List) []string {
 	var out []string
-	now := byKey(is)
-	before := byKey(was)
-	for i := range was.Len() {
-		m := was.Get(i).Message()
+	newEntries := byKey(after)
+	oldEntries := byKey(before)
+	for i := range before.Len() {
+		m := before.Get(i).Message()
 		at := fmt.Sprintf("%s[%s]", path, key(m))
-		if next, ok := now[key(m)]; ok {
+		if next, ok := newEntries[key(m)]; ok {
 			out = append(out, fieldChanges(at, m, next)...)
 		} else {
 			out = append(out, at+": removed")
 		}
 	}
-	for i := range is.Len() {
-		m := is.Get(i).Message()
-		if _, ok := before[key(m)]; !ok {
+	for i := range after.Len() {
+		m := after.Get(i).Message()
+		if _, ok := oldEntries[key(m)]; !ok {
 			out = append(out, fmt.Sprintf("%s[%s]: added", path, key(m)))
 		}
 	}
@@ -68,7 +68,7 @@
 	return out
 }
 
-// key names an entry of a list.
+// key returns the name of a list entry, or its id if it has no name field.
 func key(m protoreflect.Message) string {
 	fields := m.Descriptor().Fields()
 	if fd := fields.ByName(nameField); fd != nil {
@@ -77,7 +77,7 @@
 	return m.Get(fields.ByName(idField)).String()
 }
 
-// format gives a value as YAML writes it.
+// format returns the YAML form of a value.
 func format(fd protoreflect.FieldDescriptor, v protoreflect.Value) string {
 	if fd.Kind() != protoreflect.EnumKind {
 		return v.String()
--- a/policy/sheet/loss.go
+++ b/policy/sheet/loss.go
@@ -7,27 +7,27 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// Loss counts what a new sheet no longer holds of the old one. The shares are
-// those of the service that loses most, since a small service can vanish whole
-// without a large share of the fleet's replicas being lost.
+// Loss counts the replicas and shards of the old sheet that the new sheet lacks.
+// Percent is computed for each service: a fleet-wide percentage would miss the
+// complete removal of a small service.
 type Loss struct {
 	Replicas, OldReplicas int
 	Shards, OldShards     int
-	// Percent is the largest share that one service loses, of its replicas or of
-	// its shards, whichever is larger.
+	// Percent is the largest percentage of replicas or of shards that any one
+	// service loses.
 	Percent float64
-	// Service that loses the share Percent; empty when nothing is lost.
+	// Service is the service that loses Percent, or empty if nothing is lost.
 	Service string
 }
 
-// LossRefusal says why the next sheet may not replace the old one; empty when it
-// may: its loss is within its own max_loss_percent and no shard loses its last
-// replica in service, or it states that the loss is meant.
+// LossRefusal returns why the next sheet may not replace the old one, or "" if it
+// may. A sheet is refused if its loss exceeds its max_loss_percent or if a shard
+// loses its last replica in service, unless allow_loss is set.
 //
-// A planner's export that was cut off is often still a valid sheet; it would
-// take the missing replicas out of service everywhere within seconds. Taking out
-// one data centre too many does the same to the shards that live only there:
-// every answer over them turns partial.
+// Without this check, a truncated export, which is often still a valid sheet,
+// would remove the missing replicas from the whole fleet. Setting too many data
+// centres to out would leave some shards without replicas, and every answer that
+// covers those shards would be partial.
 func (d Diff) LossRefusal(next *pb.Sheet) string {
 	full := WithDefaults(next)
 	switch {
@@ -43,18 +43,18 @@
 }
 
 // unserved lists the shards of the next sheet that have no replica in service,
-// unless that was so in the old sheet too.
+// except those without one in the old sheet.
 func unserved(old, next *pb.Sheet) []string {
-	was := make(map[string]bool)
-	for _, name := range withoutReplica(old) {
-		was[name] = true
+	before := make(map[string]bool)
+	for _, name := range shardsOutOfService(old) {
+		before[name] = true
 	}
-	return slices.DeleteFunc(withoutReplica(next), func(name string) bool { return was[name] })
+	return slices.DeleteFunc(shardsOutOfService(next), func(name string) bool { return before[name] })
 }
 
-// withoutReplica lists the shards, as service/generation/shard, none of whose
-// replicas is in service.
-func withoutReplica(s *pb.Sheet) []string {
+// shardsOutOfService lists the shards that have no replica in service, as
+// service/generation/shard.
+func shardsOutOfService(s *pb.Sheet) []string {
 	out := make(map[string]bool)
 	for _, dc := range s.GetDataCentres() {
 		out[dc.GetName()] = dc.GetState() == pb.Lifecycle_LIFECYCLE_OUT
@@ -87,37 +87,37 @@
 		kept[svc.GetName()] = svc
 	}
 	for _, svc := range old.GetServices() {
-		now := kept[svc.GetName()]
-		lost, all := lostReplicas(svc, now)
+		successor := kept[svc.GetName()]
+		lost, total := lostReplicas(svc, successor)
 		l.Replicas += lost
-		l.OldReplicas += all
-		l.raise(svc, lost, all)
-		lost, all = lostShards(svc, now)
+		l.OldReplicas += total
+		l.recordMax(svc, lost, total)
+		lost, total = lostShards(svc, successor)
 		l.Shards += lost
-		l.OldShards += all
-		l.raise(svc, lost, all)
+		l.OldShards += total
+		l.recordMax(svc, lost, total)
 	}
 	return l
 }
 
-func (l *Loss) raise(svc *pb.Service, lost, all int) {
-	if all == 0 {
+func (l *Loss) recordMax(svc *pb.Service, lost, total int) {
+	if total == 0 {
 		return
 	}
-	if percent := 100 * float64(lost) / float64(all); percent > l.Percent {
+	if percent := 100 * float64(lost) / float64(total); percent > l.Percent {
 		l.Percent, l.Service = percent, svc.GetName()
 	}
 }
 
-func lostReplicas(was, now *pb.Service) (lost, all int) {
-	kept := replicaNames(now)
-	for name := range replicaNames(was) {
-		all++
+func lostReplicas(old, next *pb.Service) (lost, total int) {
+	kept := replicaNames(next)
+	for name := range replicaNames(old) {
+		total++
 		if !kept[name] {
 			lost++
 		}
 	}
-	return lost, all
+	return lost, total
 }
 
 func replicaNames(svc *pb.Service) map[string]bool {
@@ -132,30 +132,30 @@
 	return names
 }
 
-// lostShards counts the shards of the old sheet's newest generation. A planned
-// repartitioning first adds a generation and later retires the old one: that
-// loses nothing. When the newest generation itself is gone and none newer has
-// taken its place, all of its shards are lost.
-func lostShards(was, now *pb.Service) (lost, all int) {
-	old := newestGeneration(was)
-	all = len(old.GetShards())
-	same := generation(now, old.GetId())
+// lostShards counts the lost shards of the old sheet's newest generation. All its
+// shards are lost if the next sheet lacks that generation and has no newer one.
+// A repartitioning loses none, because it adds a newer generation before it
+// removes the old one.
+func lostShards(old, next *pb.Service) (lost, total int) {
+	newest := newestGeneration(old)
+	total = len(newest.GetShards())
+	same := generation(next, newest.GetId())
 	if same == nil {
-		if newestGeneration(now).GetFirstSnapshot() > old.GetFirstSnapshot() {
-			return 0, all
+		if newestGeneration(next).GetFirstSnapshot() > newest.GetFirstSnapshot() {
+			return 0, total
 		}
-		return all, all
+		return total, total
 	}
 	kept := make(map[string]bool)
 	for _, shard := range same.GetShards() {
 		kept[shard.GetName()] = true
 	}
-	for _, shard := range old.GetShards() {
+	for _, shard := range newest.GetShards() {
 		if !kept[shard.GetName()] {
 			lost++
 		}
 	}
-	return lost, all
+	return lost, total
 }
 
 func newestGeneration(svc *pb.Service) *pb.Generation {
--- a/policy/sheet/sheet_test.go
+++ b/policy/sheet/sheet_test.go
@@ -13,8 +13,8 @@
 
 const dataCentres = 4
 
-// build makes a valid sheet of one service with shards x replicas.
-func build(shards, replicas int) *pb.Sheet {
+// newSheet returns a valid sheet of one service with shards x replicas.
+func newSheet(shards, replicas int) *pb.Sheet {
 	s := &pb.Sheet{Fleet: "f"}
 	for i := range dataCentres {
 		s.DataCentres = append(s.DataCentres, &pb.DataCentre{Name: fmt.Sprintf("dc-%d", i)})
@@ -41,7 +41,7 @@
 
 func TestWithDefaultsIsIdempotent(t *testing.T) {
 	c := qt.New(t)
-	s := build(2, 3)
+	s := newSheet(2, 3)
 	c.Assert(sheet.Check(s), qt.HasLen, 0)
 	full := sheet.WithDefaults(s)
 	c.Assert(full.GetServices()[0].GetColdInFlight(), qt.Equals, uint32(sheet.DefaultColdInFlight))
@@ -53,12 +53,11 @@
 	c.Assert(a.GetSheetDigest(), qt.Equals, b.GetSheetDigest())
 }
 
-// A repartitioning adds a generation that names replicas of the old one again.
-// If the two disagree about a replica, a node could send one shard's queries to
-// two addresses and count its slots twice.
+// If two generations disagreed about a replica, a node could send one shard's
+// queries to two addresses and count the replica's slots twice.
 func TestCheckRejectsReplicaThatDiffersBetweenGenerations(t *testing.T) {
 	c := qt.New(t)
-	s := build(2, 3)
+	s := newSheet(2, 3)
 	next := proto.CloneOf(s.Services[0].Generations[0])
 	next.Id, next.FirstSnapshot = 2, 100
 	s.Services[0].Generations = append(s.Services[0].Generations, next)
@@ -77,7 +76,7 @@
 
 func TestCompileRejectsInvalidSheet(t *testing.T) {
 	c := qt.New(t)
-	s := build(1, 1)
+	s := newSheet(1, 1)
 	s.Services[0].Slots = 0
 	_, err := sheet.Compile(s, 1, "id", "by")
 	c.Assert(err, qt.ErrorMatches, `sheet has 1 faults, the first: services\[0\].slots: .*`)
@@ -85,7 +84,7 @@
 
 func TestCompareReportsEveryChange(t *testing.T) {
 	c := qt.New(t)
-	old := build(10, 3)
+	old := newSheet(10, 3)
 	c.Assert(sheet.Compare(old, sheet.WithDefaults(old)).Empty(), qt.IsTrue)
 
 	next := proto.CloneOf(old)
@@ -107,12 +106,12 @@
 	c.Assert(d.Loss.Percent > 13 && d.Loss.Percent < 14, qt.IsTrue)
 }
 
-// A cut-off export is still a valid sheet, but lacks a service or many
-// replicas. Publishing it would take them out of service everywhere.
+// A truncated export can be a valid sheet. Without the check, publishing it would
+// take the missing services and replicas out of service in the whole fleet.
 func TestExcessiveLossIsRefusedWithoutAllowLoss(t *testing.T) {
 	c := qt.New(t)
-	old := build(10, 3)
-	small := build(1, 1)
+	old := newSheet(10, 3)
+	small := newSheet(1, 1)
 	small.Services[0].Name = "news"
 	replica := small.Services[0].Generations[0].Shards[0].Replicas[0]
 	replica.Name, replica.Address = "news-0", "10.9.9.9:1"
@@ -135,12 +134,11 @@
 	c.Assert(sheet.Compare(nil, next).LossRefusal(next), qt.Equals, "")
 }
 
-// Two data centres are taken out; the shards whose two replicas live there would
-// be missing from every answer. Taking out one of them is fine, and a shard that
-// was unserved before does not stand in the way of other changes.
+// Taking a data centre out of service is refused if a shard loses its last replica
+// in service. A shard that already has none must not block other changes.
 func TestLossOfLastReplicaInServiceIsRefused(t *testing.T) {
 	c := qt.New(t)
-	old := build(8, 2)
+	old := newSheet(8, 2)
 	one := proto.CloneOf(old)
 	one.DataCentres[1].State = pb.Lifecycle_LIFECYCLE_OUT
 	c.Assert(sheet.Compare(old, one).LossRefusal(one), qt.Equals, "")
@@ -156,12 +154,11 @@
 	c.Assert(sheet.Compare(two, next).LossRefusal(next), qt.Equals, "")
 }
 
-// Operators repartition: a sheet with a second generation, later one without
-// the first. Neither loses shards. A list of generations that was cut off after
-// the old one does.
+// Adding a generation and later removing the older one loses no shards. Removing
+// the newest generation without a newer one loses all its shards.
 func TestRepartitioningIsNotCountedAsLoss(t *testing.T) {
 	c := qt.New(t)
-	one := build(4, 2)
+	one := newSheet(4, 2)
 	both := proto.CloneOf(one)
 	next := proto.CloneOf(one.Services[0].Generations[0])
 	next.Id, next.FirstSnapshot = 2, 100
@@ -178,12 +175,12 @@
 	c.Assert(sheet.Compare(both, one).LossRefusal(one), qt.Not(qt.Equals), "")
 }
 
-// The platform holds values up to a megabyte. Spread over names and addresses
-// of the length of today, the target's 3,500 replicas must fit well below it.
+// The platform's key-value store accepts values of up to 1 MB. A configuration of
+// 3,500 replicas must stay under half of that.
 func TestConfigurationSizeAtTargetFleet(t *testing.T) {
 	c := qt.New(t)
 	for _, shards := range []int{25, 250, 1750} {
-		cfg, err := sheet.Compile(build(shards, 2), 1, "0f3c9f5e-1111-4222-8333-444455556666", "ops")
+		cfg, err := sheet.Compile(newSheet(shards, 2), 1, "0f3c9f5e-1111-4222-8333-444455556666", "ops")
 		c.Assert(err, qt.IsNil)
 		t.Logf("%d replicas: %d bytes", 2*shards, proto.Size(cfg))
 		c.Assert(proto.Size(cfg) < 1<<19, qt.IsTrue)
