--- a/policy/rule/enum.go
+++ b/policy/rule/enum.go
@@ -6,8 +6,8 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// ShortName gives an enum value as YAML writes it: LIFECYCLE_IN_SERVICE is
-// in_service.
+// ShortName returns the name of an enum value in YAML, such as in_service for
+// LIFECYCLE_IN_SERVICE.
 func ShortName(value protoreflect.EnumValueDescriptor) string {
 	ed, _ := value.Parent().(protoreflect.EnumDescriptor)
 	prefix := strings.TrimSuffix(string(ed.Values().ByNumber(0).Name()), "UNSPECIFIED")
--- a/policy/rule/rule.go
+++ b/policy/rule/rule.go
@@ -1,5 +1,5 @@
-// Package rule checks a message against the rules that its schema states with
-// the option (carobmill.v1.rule): required fields and ranges of numbers.
+// Package rule validates a message against the field option (carobmill.v1.rule)
+// of its schema: required fields and ranges of numbers.
 package rule
 
 import (
@@ -12,20 +12,21 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// Fault is one thing wrong in what an operator wrote.
+// Fault is one validation error in a file written by an operator.
 type Fault struct {
-	// Path of the field, such as services[0].slots.
+	// Path is the path of the field, such as services[0].slots.
 	Path    string
 	Problem string
+	// Allowed describes the valid values.
 	Allowed string
 }
 
-// String gives the path, what is wrong and what is allowed.
+// String formats the fault as a message for operators.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s: %s, %s", f.Path, f.Problem, f.Allowed)
 }
 
-// Of returns the rule of a field, or nil when the schema states none.
+// Of returns the rule of a field, or nil if the schema defines none.
 func Of(fd protoreflect.FieldDescriptor) *pb.Rule {
 	if !proto.HasExtension(fd.Options(), pb.E_Rule) {
 		return nil
@@ -34,7 +35,7 @@
 	return r
 }
 
-// Bounded reports whether the rule gives a range.
+// Bounded reports whether the rule limits the range of numbers.
 func Bounded(r *pb.Rule) bool {
 	return r.GetMin() != 0 || r.GetMax() != 0
 }
@@ -49,7 +50,7 @@
 	return fmt.Sprintf("allowed is %s to %s", number(r.GetMin()), number(r.GetMax()))
 }
 
-// Join appends a field's name to the path of its message.
+// Join appends a field name to the path of its message.
 func Join(path, field string) string {
 	if path == "" {
 		return field
@@ -57,12 +58,12 @@
 	return path + "." + field
 }
 
-// Index appends a position to the path of a list.
+// Index appends an element's index to the path of a list.
 func Index(path string, i int) string {
 	return path + "[" + strconv.Itoa(i) + "]"
 }
 
-// Check returns every fault of a message whose defaults are filled in.
+// Check returns all faults of a message. The caller fills in defaults first.
 func Check(m proto.Message) []Fault {
 	c := &checker{}
 	c.message("", m.ProtoReflect())
