--- a/policy/modeltest/modeltest.go
+++ b/policy/modeltest/modeltest.go
@@ -1,5 +1,5 @@
-// Package modeltest holds what the model-based tests share: a fixed seed, so
-// that CI's verdict is the same each time, and the proof that a check can fail.
+// Package modeltest provides helpers for model-based tests: a fixed seed, which
+// makes CI runs reproducible, and a check that a property fails on a broken model.
 package modeltest
 
 import (
@@ -13,19 +13,19 @@
 	"pgregory.net/rapid"
 )
 
-// seed of the runs in CI. Long runs with new seeds:
+// seed is the default random seed. To run longer with a fresh seed:
 //
 //	go test ./policy/PACKAGE -rapid.seed=0 -rapid.checks=100000
 const seed = "20261202"
 
-// Size of the runs in CI; empty fields take rapid's defaults.
+// Size configures the default run. An empty field selects rapid's default.
 type Size struct {
-	// Checks is the number of histories, Steps the length of one.
+	// Checks is the number of generated histories, Steps the length of each.
 	Checks string
 	Steps  string
 }
 
-// Main runs a package's tests under the fixed seed. Flags on the command line take
+// Main runs a package's tests with the fixed seed. Flags on the command line take
 // precedence.
 func Main(m *testing.M, size Size) {
 	flag.Parse()
@@ -47,30 +47,30 @@
 	os.Exit(m.Run())
 }
 
-// ExpectFailure runs a property that a deliberately broken variant must violate, and
-// fails the test unless it does so with a message that holds want.
+// ExpectFailure runs a property against a deliberately broken variant. The test
+// fails unless the property fails with a message that contains want.
 func ExpectFailure(t *testing.T, want string, property func(*rapid.T)) {
 	t.Helper()
-	defer withoutShrinking(t)()
+	defer disableShrinking(t)()
 	r := &recorder{name: t.Name()}
 	done := make(chan struct{})
-	// FailNow ends its goroutine, so the property runs on one of its own.
+	// FailNow exits the calling goroutine, so the property runs on a separate one.
 	go func() {
 		defer close(done)
 		rapid.Check(r, property)
 	}()
 	<-done
 	if !r.failed {
-		t.Fatalf("the broken variant was not caught")
+		t.Fatalf("the property passed on the broken variant")
 	}
 	if text := strings.Join(r.lines, "\n"); !strings.Contains(text, want) {
-		t.Fatalf("caught by another check than %q:\n%s", want, text)
+		t.Fatalf("the property failed without the message %q:\n%s", want, text)
 	}
 }
 
-// withoutShrinking keeps rapid from searching for a smaller failure, which takes
-// long and is of no use here. It returns what ends that.
-func withoutShrinking(t *testing.T) func() {
+// disableShrinking turns off rapid's slow search for a minimal failure. The
+// returned function restores the previous setting.
+func disableShrinking(t *testing.T) func() {
 	t.Helper()
 	shrink := flag.Lookup("rapid.shrinktime")
 	before := shrink.Value.String()
@@ -80,7 +80,7 @@
 	return func() { _ = shrink.Value.Set(before) }
 }
 
-// recorder is a rapid.TB that keeps failures to itself.
+// recorder is a rapid.TB that records failures without failing the test.
 type recorder struct {
 	name   string
 	failed bool
