--- a/policy/bench/bounds/bounds.go
+++ b/policy/bench/bounds/bounds.go
@@ -1,6 +1,6 @@
-// Package bounds compares the figures of a run with a file of bounds, so that a
-// change that costs more than it may fails a test. A line of the file names a
-// scenario, a figure, <= or >=, and the bound; # begins a comment.
+// Package bounds compares the figures of a benchmark run with limits from a file,
+// so that a performance regression fails a test. Each line of the file contains a
+// scenario, a figure, <= or >=, and the limit. # starts a comment line.
 package bounds
 
 import (
@@ -24,7 +24,7 @@
 	Value            float64
 }
 
-// Read reads a file of bounds. The error names the line at fault.
+// Read parses a bounds file. An error contains the invalid line.
 func Read(r io.Reader) ([]Bound, error) {
 	var all []Bound
 	lines := bufio.NewScanner(r)
@@ -39,16 +39,16 @@
 			return nil, errors.Wrapf(err, "line %q", line)
 		}
 		if relation != "<=" && relation != ">=" {
-			return nil, errors.Errorf("line %q: relation %q", line, relation)
+			return nil, errors.Errorf("line %q: relation %q is not <= or >=", line, relation)
 		}
 		b.AtMost = relation == "<="
 		all = append(all, b)
 	}
-	return all, errors.Wrap(lines.Err(), "bounds")
+	return all, errors.Wrap(lines.Err(), "read bounds")
 }
 
-// Compare returns what is wrong with the figures of a scenario: each bound that is
-// not kept or whose figure was not measured, and a scenario without any bound.
+// Compare returns a message for each violated bound of a scenario and for each
+// bound whose figure is missing. A scenario without bounds is reported too.
 func Compare(all []Bound, scenario string, figures map[string]float64) []string {
 	var faults []string
 	bounded := false
@@ -58,14 +58,14 @@
 		}
 		bounded = true
 		value, measured := figures[b.Figure]
-		kept := value >= b.Value
+		within := value >= b.Value
 		if b.AtMost {
-			kept = value <= b.Value
+			within = value <= b.Value
 		}
 		switch {
 		case !measured:
 			faults = append(faults, fmt.Sprintf("%s %s is not measured", scenario, b.Figure))
-		case !kept:
+		case !within:
 			faults = append(faults, fmt.Sprintf("%s %s: %.4g, bound %.4g", scenario, b.Figure, value, b.Value))
 		}
 	}
@@ -75,8 +75,8 @@
 	return faults
 }
 
-// Check logs the figures of a scenario and fails the test for each bound of the
-// file that they do not keep.
+// Check logs the figures of a scenario and fails the test for each message that
+// Compare returns for the bounds file at path.
 func Check(t testing.TB, path, scenario string, figures map[string]float64) {
 	t.Helper()
 	for _, name := range slices.Sorted(maps.Keys(figures)) {
@@ -96,8 +96,9 @@
 	}
 }
 
-// Allocated returns how many objects and bytes a call allocates on average, those of
-// other goroutines included, after one call that is not counted.
+// Allocated returns the average number of objects and bytes that one call of f
+// allocates, including allocations of other goroutines. One warm-up call is not
+// counted.
 func Allocated(runs int, f func()) (objects, bytes float64) {
 	f()
 	var before, after runtime.MemStats
--- a/policy/bench/bounds/bounds_test.go
+++ b/policy/bench/bounds/bounds_test.go
@@ -9,9 +9,8 @@
 	"github.com/carobmill/carobmill/policy/bench/bounds"
 )
 
-// A figure that grows past its bound, one that is no longer measured, a scenario
-// that nothing bounds and a line that says nothing must each fail the run, or the
-// regression would pass unseen.
+// A regression passes CI if a violated bound, a missing figure, a scenario without
+// bounds or a malformed line goes unreported.
 func TestViolatedMissingAndMalformedBoundsAreReported(t *testing.T) {
 	c := qt.New(t)
 	all, err := bounds.Read(strings.NewReader("# figures\n\nscatter bytes <= 60\nscatter share >= 0.5\n"))
