--- a/policy/bench/cold_test.go
+++ b/policy/bench/cold_test.go
@@ -10,13 +10,14 @@
 	"github.com/carobmill/carobmill/policy/bench/bounds"
 )
 
-// coldRequests is what a cold server serves before it is warm.
-const coldRequests = 20
+// warmUpRequests is the number of requests that a cold server serves before it is
+// warm.
+const warmUpRequests = 20
 
-// A replica restarts, comes back after a time, or turns cold with its
-// connections open, while 8 nodes send. It falls over if it gets more than one
-// request at once. Nobody announces it. With its connections open, nothing can
-// tell before the first answer is late; what was sent until then is bounded.
+// A replica becomes cold while 8 nodes send to it: by a restart, after downtime, or
+// with its connections open. More than one concurrent request would overload it. If
+// connections stay open, the first late answer is the only signal, and the test
+// bounds the number of requests sent until then.
 func TestColdReplicaIsNotOverloaded(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -28,26 +29,26 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			s := kenya(15, 300, 12000)
+			s := smallFleet(15, 300, 12000)
 			s.Warmup, s.Policy = 3000, bench.Carobmill
-			test.fault.At, test.fault.Replica, test.fault.WarmUpRequests = 20*time.Second, 7, coldRequests
+			test.fault.At, test.fault.Replica, test.fault.WarmUpRequests = 20*time.Second, 7, warmUpRequests
 			s.Faults = []bench.Fault{test.fault}
 			r := bench.Run(s)
 			cold := r.Servers[7]
-			back := test.fault.At + test.fault.Downtime
-			t.Logf("overborne %d, peak %d, warm after %v, full share after %v; p99 %v partial %d",
-				cold.Excess, cold.ColdPeak, cold.WarmAt-back, cold.FullShareAt-back, bench.Quantile(r.All, 0.99), r.Partial)
-			qt.Check(t, cold.FullShareAt > back, qt.IsTrue)
+			reachableAt := test.fault.At + test.fault.Downtime
+			t.Logf("excess requests %d, peak %d, warm after %v, full share after %v; p99 %v partial %d",
+				cold.Excess, cold.ColdPeak, cold.WarmAt-reachableAt, cold.FullShareAt-reachableAt, bench.Quantile(r.All, 0.99), r.Partial)
+			qt.Check(t, cold.FullShareAt > reachableAt, qt.IsTrue)
 			s.Policy = bench.Baseline
 			base := bench.Run(s)
-			t.Logf("baseline: overborne %d, peak %d, p99 %v partial %d", base.Servers[7].Excess,
+			t.Logf("baseline: excess requests %d, peak %d, p99 %v partial %d", base.Servers[7].Excess,
 				base.Servers[7].ColdPeak, bench.Quantile(base.All, 0.99), base.Partial)
 			bounds.Check(t, boundsFile, test.name, map[string]float64{
 				"overborne":   float64(cold.Excess),
 				"peak":        float64(cold.ColdPeak),
-				"blind-ms":    max(0, float64((cold.LastExcess - back).Milliseconds())),
-				"full-after":  (cold.FullShareAt - back).Seconds(),
-				"share-after": shareAfter(r, 7, s.Replicas, back).Seconds(),
+				"blind-ms":    max(0, float64((cold.LastExcess - reachableAt).Milliseconds())),
+				"full-after":  (cold.FullShareAt - reachableAt).Seconds(),
+				"share-after": shareAfter(r, 7, s.Replicas, reachableAt).Seconds(),
 				"extra":       r.Extra,
 				"p99-ratio":   ratio(bench.Quantile(r.All, 0.99), bench.Quantile(base.All, 0.99)),
 				"partial":     float64(r.Partial),
@@ -56,8 +57,9 @@
 	}
 }
 
-// shareAfter returns the time from a replica's return to the first whole second in
-// which it got at least half of what its shard's other replicas got on average.
+// shareAfter returns the time from reachableAt to the first full second in which
+// the replica accepts at least half the mean number of requests of the other
+// replicas of its shard.
 func shareAfter(r *bench.Result, replica, replicas int, back time.Duration) time.Duration {
 	first := replica / replicas * replicas
 	for second := int(back/time.Second) + 1; second < len(r.Servers[replica].AcceptedPerSecond); second++ {
@@ -75,62 +77,62 @@
 	return time.Hour
 }
 
-// Eight replicas turn cold one after the other with their connections open, while 8
-// nodes send. The operators have stated that they may, so one owner alone sends to
-// each, and never a second request beside the one that a cold replica bears: what
-// is in flight at that very moment is within it already. Without the statement the
-// same turns put more on them.
+// With silent cold starts configured, a single owner sends one request at a time to
+// each replica. A replica that becomes cold with its connections open is then never
+// above its concurrency limit. Shared ownership exceeds the limit in the same
+// scenario.
 func TestSilentColdStartWithExclusiveOwner(t *testing.T) {
 	t.Parallel()
 	figures := map[string]float64{}
-	for seed := range uint64(unseenSeeds) {
-		alone, shared := unseenTurns(seed+1, true), unseenTurns(seed+1, false)
-		for i := range unseenTurned {
-			cold := alone.Servers[i*unseenApart]
+	for seed := range uint64(silentSeeds) {
+		exclusive, shared := runSilentColdStarts(seed+1, true), runSilentColdStarts(seed+1, false)
+		for i := range silentFaults {
+			cold := exclusive.Servers[i*silentFaultSpacing]
 			figures["overborne"] += float64(cold.Excess)
-			figures["ordinary-overborne"] += float64(shared.Servers[i*unseenApart].Excess)
+			figures["ordinary-overborne"] += float64(shared.Servers[i*silentFaultSpacing].Excess)
 			figures["peak"] = max(figures["peak"], float64(cold.ColdPeak))
-			figures["full-after"] = max(figures["full-after"], (cold.FullShareAt - turnOf(i)).Seconds())
-			qt.Check(t, cold.FullShareAt > 0, qt.IsTrue, qt.Commentf("seed %d turn %d: %+v", seed, i, cold))
+			figures["full-after"] = max(figures["full-after"], (cold.FullShareAt - silentFaultAt(i)).Seconds())
+			qt.Check(t, cold.FullShareAt > 0, qt.IsTrue, qt.Commentf("seed %d fault %d: %+v", seed, i, cold))
 		}
-		figures["spoilt"] += float64(alone.Partial+alone.Refused) / float64(unseenSeeds*unseenQueries)
-		p99 := bench.Quantile(alone.All, 0.99)
+		figures["spoilt"] += float64(exclusive.Partial+exclusive.Refused) / float64(silentSeeds*silentQueries)
+		p99 := bench.Quantile(exclusive.All, 0.99)
 		figures["p99-ms"] = max(figures["p99-ms"], float64(p99.Milliseconds()))
 		figures["p99-ratio"] = max(figures["p99-ratio"], ratio(p99, bench.Quantile(shared.All, 0.99)))
 	}
 	bounds.Check(t, boundsFile, "cold-silent-exclusive", figures)
 }
 
-// Replicas so far apart are of different shards.
+// silentFaultSpacing is larger than the number of replicas per shard, so that each
+// fault affects a different shard.
 const (
-	unseenSeeds   = 4
-	unseenQueries = 7500
-	unseenTurned  = 8
-	unseenApart   = 5
+	silentSeeds        = 4
+	silentQueries      = 7500
+	silentFaults       = 8
+	silentFaultSpacing = 5
 )
 
-func turnOf(i int) time.Duration {
+func silentFaultAt(i int) time.Duration {
 	return 20*time.Second + time.Duration(i)*3*time.Second
 }
 
-func unseenTurns(seed uint64, exclusive bool) *bench.Result {
-	s := kenya(15, 150, unseenQueries)
+func runSilentColdStarts(seed uint64, exclusive bool) *bench.Result {
+	s := smallFleet(15, 150, silentQueries)
 	s.Seed, s.Warmup, s.Policy, s.Exclusive = seed, 1500, bench.Carobmill, exclusive
-	for i := range unseenTurned {
+	for i := range silentFaults {
 		s.Faults = append(s.Faults, bench.Fault{
-			Kind: bench.FaultSilent, At: turnOf(i), Replica: i * unseenApart, WarmUpRequests: coldRequests,
+			Kind: bench.FaultSilent, At: silentFaultAt(i), Replica: i * silentFaultSpacing, WarmUpRequests: warmUpRequests,
 		})
 	}
 	return bench.Run(s)
 }
 
-// One request at a time costs capacity. Operators need to know how much before
-// they state that replicas may turn cold unseen: the rates are the highest carried.
+// Exclusive ownership with one request in flight reduces capacity. The rates are the
+// highest that each mode sustains.
 func TestCapacityWithExclusiveOwner(t *testing.T) {
 	t.Parallel()
 	figures := map[string]float64{}
 	for name, rate := range map[string]float64{"shared": 700, "alone": 225} {
-		s := kenya(15, rate, int(20*rate))
+		s := smallFleet(15, rate, int(20*rate))
 		s.Policy, s.Exclusive = bench.Carobmill, name == "alone"
 		r := bench.Run(s)
 		figures[name+"-complete"] = float64(r.Complete) / float64(s.Queries)
--- a/policy/bench/cost_test.go
+++ b/policy/bench/cost_test.go
@@ -15,7 +15,8 @@
 	"github.com/carobmill/carobmill/policy/routing"
 )
 
-// costEnv is an entry node's tables without the node.
+// costEnv implements query.Env with the routing, latency and budget state of an
+// entry node.
 type costEnv struct {
 	now        time.Time
 	routing    *routing.Table
@@ -79,17 +80,17 @@
 	return svc
 }
 
-// newCost returns what the queries of one entry node share.
-func newCost(rng *rand.Rand) (*costEnv, *admission.Controller) {
+// newCostEnv returns the state that all queries of an entry node share.
+func newCostEnv(rng *rand.Rand) (*costEnv, *admission.Controller) {
 	env := &costEnv{now: time.Unix(1000, 0), routing: routing.New(rng), budget: hedge.NewBudget(5, 100)}
 	return env, admission.New(admission.Params{})
 }
 
-// The decisions of a query allocate no more than they did, per subrequest.
+// Checks the allocations per subrequest of a query's decisions against bounds.
 func TestDecisionsAllocateWithinBounds(t *testing.T) {
 	for _, shards := range []int{10, 100, 1700} {
 		rng := rand.New(rand.NewPCG(1, 2))
-		env, control := newCost(rng)
+		env, control := newCostEnv(rng)
 		svc := costService(shards)
 		objects, bytes := bounds.Allocated(20, func() { runQuery(env, control, svc, rng) })
 		bounds.Check(t, boundsFile, fmt.Sprintf("decisions-%d", shards), map[string]float64{
@@ -99,15 +100,14 @@
 	}
 }
 
-// BenchmarkQueryDecisions gives the processor time and allocations of all
-// decisions of a query at its entry node: admission, one choice a shard, one
-// reply a shard in random order, the plan for hedges. Messages and locks are not
-// in it.
+// BenchmarkQueryDecisions measures the CPU time and allocations of all decisions of
+// a query at its entry node: admission, one pick and one reply per shard, and
+// hedge planning. It excludes messages and locks.
 func BenchmarkQueryDecisions(b *testing.B) {
 	for _, shards := range []int{10, 100, 1700} {
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 2))
-			env, control := newCost(rng)
+			env, control := newCostEnv(rng)
 			svc := costService(shards)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/policy/bench/doc.go
+++ b/policy/bench/doc.go
@@ -1,9 +1,8 @@
-// Package bench drives the policy packages in virtual time against a queueing
-// model of backend servers, and compares them with a baseline policy: random
-// replica, no hedging, no adaptive limit, no admission. Runs of one seed are
-// equal, so that their ratios can be bounded in CI; bounds.txt holds the
-// bounds.
+// Package bench simulates the policy packages in virtual time against a queueing
+// model of backend servers. It compares them with a baseline policy: a random
+// replica, no hedging, no adaptive concurrency limit and no admission control.
+// Runs with the same seed are identical, so tests can check their results against
+// the bounds in bounds.txt.
 //
-// It is a driver for the decisions, not a cluster: no message is lost, nodes do
-// not fail, and membership stands still.
+// The simulation loses no messages, nodes do not fail, and membership is constant.
 package bench
--- a/policy/bench/loop.go
+++ b/policy/bench/loop.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// event is something that happens at a virtual time.
+// event is a callback scheduled at a virtual time.
 type event struct {
 	at  time.Duration
 	seq uint64
@@ -31,8 +31,8 @@
 	return x
 }
 
-// loop runs events in the order of their virtual time; equal times run in the
-// order of scheduling.
+// loop runs events in the order of their virtual time. Events with the same time
+// run in the order in which they were scheduled.
 type loop struct {
 	elapsed time.Duration
 	seq     uint64
@@ -50,7 +50,7 @@
 	heap.Push(&l.queue, event{at: l.elapsed + max(d, 0), seq: l.seq, run: run})
 }
 
-// run ends when no event is left before the given time.
+// run processes all events up to and including the given time.
 func (l *loop) run(until time.Duration) {
 	for len(l.queue) > 0 && l.queue[0].at <= until {
 		e := heap.Pop(&l.queue).(event)
--- a/policy/bench/node.go
+++ b/policy/bench/node.go
@@ -17,14 +17,14 @@
 	classHigh = 0
 	classLow  = 1
 	classes   = 2
-	// expectedQuantile of recent query latencies is what a query is expected to
-	// take.
+	// expectedQuantile is the quantile of recent query latencies that admission
+	// uses as the expected latency of a query.
 	expectedQuantile = 0.5
 )
 
-// node is an entry node; its owner part is in owner.go.
+// node is an entry node and an owner of replicas. owner.go contains the owner role.
 type node struct {
-	run   *run
+	sim   *simulation
 	index int
 	dc    int
 	rng   *rand.Rand
@@ -33,22 +33,22 @@
 	admission *admission.Controller
 	hedges    *hedge.Budget
 	retries   *hedge.Budget
-	// subrequests holds latencies of answers from warm replicas.
-	subrequests hedge.Quantile
-	queries     [classes]hedge.Quantile
-	attempts    uint64
-	running     map[uint64]*sent
-	candidates  []*config.Replica
-	snapshots   *snapshot.Table
-	// newest is the newest snapshot that any replica was heard to hold, and starting
-	// is set while a query chooses its first one; both serve PinNewest.
+	// warmLatencies estimates the subrequest latency of warm replicas.
+	warmLatencies  hedge.Quantile
+	queryLatencies [classes]hedge.Quantile
+	lastAttempt    uint64
+	inFlight       map[uint64]*attempt
+	candidates     []*config.Replica
+	snapshots      *snapshot.Table
+	// newest is the newest snapshot reported by any replica. starting is true while a
+	// query chooses its first snapshot. Only PinNewest uses them.
 	newest   uint64
 	starting bool
-	owned    map[string]*owned
+	owned    map[string]*ownedReplica
 }
 
-// sent is an attempt without a reply.
-type sent struct {
+// attempt is a subrequest attempt that has no reply yet.
+type attempt struct {
 	query  *entryQuery
 	at     time.Time
 	owner  *node
@@ -57,56 +57,56 @@
 	job    *job
 }
 
-// entryQuery is one query at its entry node.
+// entryQuery is the state of a query at its entry node.
 type entryQuery struct {
 	*query.Query
 	id      int
 	class   int
 	node    *node
 	started time.Time
-	wakeAt  time.Time
+	tickAt  time.Time
 	ended   bool
 }
 
-func newNode(r *run, index int) *node {
+func newNode(r *simulation, index int) *node {
 	s := r.scenario
 	rng := rand.New(rand.NewPCG(s.Seed, uint64(100+index)))
 	return &node{
-		run: r, index: index, dc: index % dataCentres, rng: rng,
+		sim: r, index: index, dc: index % dataCentres, rng: rng,
 		routing:   routing.New(rng),
 		admission: admission.New(admission.Params{}),
 		hedges:    hedge.NewBudget(5, max(10, s.Shards/10)),
 		retries:   hedge.NewBudget(10, max(10, s.Shards/10)),
 		snapshots: snapshot.NewTable(),
-		running:   make(map[uint64]*sent),
-		owned:     make(map[string]*owned),
+		inFlight:  make(map[uint64]*attempt),
+		owned:     make(map[string]*ownedReplica),
 	}
 }
 
-// arrive is the arrival of a caller's query.
+// arrive handles a query from a caller.
 func (n *node) arrive(id, class int) {
-	now := n.run.loop.now()
-	deadline := n.run.scenario.Deadline
-	if n.run.scenario.Policy == Carobmill {
-		expected := n.queries[class].At(expectedQuantile)
+	now := n.sim.loop.now()
+	deadline := n.sim.scenario.Deadline
+	if n.sim.scenario.Policy == Carobmill {
+		expected := n.queryLatencies[class].At(expectedQuantile)
 		decision := n.admission.Admit(now, uint32(class), deadline, expected)
 		n.hedges.SetPressure(n.admission.Pressure())
 		n.retries.SetPressure(n.admission.Pressure())
 		if !decision.Admitted() {
-			n.run.refused(id, class, 0)
+			n.sim.recordRefused(id, class, 0)
 			return
 		}
 	}
 	q := &entryQuery{id: id, class: class, node: n, started: now}
-	q.Query = query.New(n, query.Params{Service: n.run.service, Deadline: now.Add(deadline)})
+	q.Query = query.New(n, query.Params{Service: n.sim.service, Deadline: now.Add(deadline)})
 	n.starting = true
 	first := q.Start(now)
 	n.starting = false
-	n.carryOut(q, first)
+	n.execute(q, first)
 }
 
-func (n *node) carryOut(q *entryQuery, step query.Step) {
-	now := n.run.loop.now()
+func (n *node) execute(q *entryQuery, step query.Step) {
+	now := n.sim.loop.now()
 	for _, c := range step.Cancel {
 		n.cancel(c)
 	}
@@ -118,19 +118,19 @@
 		return
 	}
 	next := q.NextTick()
-	if !q.wakeAt.IsZero() && q.wakeAt.After(now) && !next.Before(q.wakeAt) {
+	if !q.tickAt.IsZero() && q.tickAt.After(now) && !next.Before(q.tickAt) {
 		return
 	}
-	q.wakeAt = next
-	n.run.loop.after(next.Sub(now), func() { n.wake(q, next) })
+	q.tickAt = next
+	n.sim.loop.after(next.Sub(now), func() { n.tick(q, next) })
 }
 
-func (n *node) wake(q *entryQuery, at time.Time) {
-	if q.ended || !q.wakeAt.Equal(at) {
+func (n *node) tick(q *entryQuery, at time.Time) {
+	if q.ended || !q.tickAt.Equal(at) {
 		return
 	}
-	q.wakeAt = time.Time{}
-	n.carryOut(q, q.Tick(n.run.loop.now()))
+	q.tickAt = time.Time{}
+	n.execute(q, q.Tick(n.sim.loop.now()))
 }
 
 func (n *node) end(q *entryQuery) {
@@ -138,64 +138,64 @@
 		return
 	}
 	q.ended = true
-	now := n.run.loop.now()
+	now := n.sim.loop.now()
 	took := now.Sub(q.started)
 	answer := q.Answer()
 	complete := answer.Outcome == query.Complete
-	if n.run.scenario.Policy == Carobmill {
+	if n.sim.scenario.Policy == Carobmill {
 		n.admission.Done(now, uint32(q.class), took, complete)
 		if complete {
-			n.queries[q.class].Observe(took)
+			n.queryLatencies[q.class].Observe(took)
 		}
 	}
-	n.run.ended(q, answer, took)
+	n.sim.recordEnded(q, answer, took)
 }
 
 func (n *node) send(q *entryQuery, s query.Send) {
-	now := n.run.loop.now()
+	now := n.sim.loop.now()
 	if !s.Extra {
 		n.hedges.Sent(1)
 		n.retries.Sent(1)
 	}
-	owner := n.run.ownerFor(n, s.Replica)
+	owner := n.sim.ownerFor(n, s.Replica)
 	n.routing.Sent(s.Replica.Name, now)
-	a := &sent{query: q, at: now, owner: owner, server: n.run.server(s.Replica)}
-	n.running[s.Attempt] = a
-	hop := n.hop(owner)
-	n.run.loop.after(hop, func() {
+	a := &attempt{query: q, at: now, owner: owner, server: n.sim.server(s.Replica)}
+	n.inFlight[s.Attempt] = a
+	delay := n.networkDelay(owner)
+	n.sim.loop.after(delay, func() {
 		owner.serve(a, s, func(r *pb.SubrequestResult) {
-			n.run.loop.after(hop, func() { n.reply(s, r) })
+			n.sim.loop.after(delay, func() { n.reply(s, r) })
 		})
 	})
 }
 
 func (n *node) cancel(c query.Cancelled) {
-	a := n.running[c.Attempt]
+	a := n.inFlight[c.Attempt]
 	if a == nil {
 		return
 	}
-	delete(n.running, c.Attempt)
-	now := n.run.loop.now()
+	delete(n.inFlight, c.Attempt)
+	now := n.sim.loop.now()
 	n.routing.Done(c.Replica.Name, now, now.Sub(a.at), routing.ResultCancelled)
-	n.run.loop.after(n.hop(a.owner), func() { a.owner.withdraw(a, c.Replica) })
+	n.sim.loop.after(n.networkDelay(a.owner), func() { a.owner.cancelAtOwner(a, c.Replica) })
 }
 
 func (n *node) reply(s query.Send, r *pb.SubrequestResult) {
-	a := n.running[s.Attempt]
+	a := n.inFlight[s.Attempt]
 	if a == nil {
 		return
 	}
-	delete(n.running, s.Attempt)
-	now := n.run.loop.now()
+	delete(n.inFlight, s.Attempt)
+	now := n.sim.loop.now()
 	took := now.Sub(a.at)
 	n.routing.Done(s.Replica.Name, now, took, routingResult(r))
 	n.routing.News(r.GetNews(), now)
-	n.noteSnapshot(r.GetNews())
+	n.recordSnapshot(r.GetNews())
 	if r.GetReason() == pb.Reason_REASON_UNSPECIFIED &&
 		r.GetNews().GetState() == pb.ReplicaState_REPLICA_STATE_WARM {
-		n.subrequests.Observe(took)
+		n.warmLatencies.Observe(took)
 	}
-	n.carryOut(a.query, a.query.Reply(now, r))
+	n.execute(a.query, a.query.Reply(now, r))
 }
 
 func routingResult(r *pb.SubrequestResult) routing.Result {
@@ -211,7 +211,7 @@
 
 // Pick implements query.Env.
 func (n *node) Pick(shard *config.Shard, pinned uint64, tried func(*config.Replica) bool) *config.Replica {
-	if n.run.scenario.Policy == Carobmill {
+	if n.sim.scenario.Policy == Carobmill {
 		return n.pick(shard, pinned, tried)
 	}
 	candidates := n.untried(shard, pinned, snapshot.Dropped, tried)
@@ -223,24 +223,25 @@
 
 // PickHedge implements query.Env.
 func (n *node) PickHedge(shard *config.Shard, pinned uint64, tried func(*config.Replica) bool) *config.Replica {
-	return n.routing.PickHedge(n.untried(shard, pinned, n.surest(), tried), n.run.loop.now())
+	return n.routing.PickHedge(n.untried(shard, pinned, n.requiredHolding(), tried), n.sim.loop.now())
 }
 
 // PickWarmUp implements query.Env.
 func (n *node) PickWarmUp(shard *config.Shard, pinned uint64, tried func(*config.Replica) bool) *config.Replica {
-	if n.run.scenario.Policy == Baseline || !n.routing.AnyCold() {
+	if n.sim.scenario.Policy == Baseline || !n.routing.AnyCold() {
 		return nil
 	}
-	r := n.routing.PickWarmUp(n.untried(shard, pinned, max(n.surest(), snapshot.Unknown), tried), n.run.loop.now())
+	r := n.routing.PickWarmUp(n.untried(shard, pinned, max(n.requiredHolding(), snapshot.Unknown), tried), n.sim.loop.now())
 	if r == nil || !n.hedges.TakeSpare() {
 		return nil
 	}
 	return r
 }
 
-// surest is what must be known of a replica that is asked beside another.
-func (n *node) surest() snapshot.Holding {
-	if n.run.scenario.Rollout.Every == 0 {
+// requiredHolding returns the worst Holding state of a replica that may receive a
+// hedge. A warm-up copy also accepts snapshot.Unknown.
+func (n *node) requiredHolding() snapshot.Holding {
+	if n.sim.scenario.Rollout.Every == 0 {
 		return snapshot.MayHold
 	}
 	return snapshot.Holds
@@ -248,8 +249,8 @@
 
 // NextAttempt implements query.Env.
 func (n *node) NextAttempt() uint64 {
-	n.attempts++
-	return n.attempts
+	n.lastAttempt++
+	return n.lastAttempt
 }
 
 // TakeHedge implements query.Env.
@@ -257,28 +258,29 @@
 
 // TakeRetry implements query.Env.
 func (n *node) TakeRetry() bool {
-	return n.run.scenario.Policy == Baseline || n.retries.Take()
+	return n.sim.scenario.Policy == Baseline || n.retries.Take()
 }
 
 // HedgeAfter implements query.Env.
 func (n *node) HedgeAfter(answered, total int, slowest time.Duration) time.Duration {
-	if n.run.scenario.Policy == Baseline {
+	if n.sim.scenario.Policy == Baseline {
 		return hedge.Never
 	}
 	return hedge.After(hedge.Siblings{
 		Answered: answered, Total: total, Slowest: slowest,
 		Loaded: n.admission.Pressure() >= 1,
-	}, &n.subrequests)
+	}, &n.warmLatencies)
 }
 
-// knowsWarm reports whether the last news of a replica called it warm.
-func (n *node) knowsWarm(replica string) bool {
-	return n.run.scenario.Policy == Baseline ||
+// reportedWarm reports whether the last reported state of a replica is warm. It is
+// always true for the baseline policy.
+func (n *node) reportedWarm(replica string) bool {
+	return n.sim.scenario.Policy == Baseline ||
 		n.routing.State(replica) == pb.ReplicaState_REPLICA_STATE_WARM
 }
 
-// hop is the one-way delay to another node.
-func (n *node) hop(to *node) time.Duration {
+// networkDelay returns the one-way delay to a node.
+func (n *node) networkDelay(to *node) time.Duration {
 	switch {
 	case n == to:
 		return 0
--- a/policy/bench/owner.go
+++ b/policy/bench/owner.go
@@ -11,108 +11,107 @@
 )
 
 const (
-	backendHop = 100 * time.Microsecond
-	// reportInterval is how often a first owner tells the others that a replica
-	// is warm, beside at once after a change.
+	backendDelay = 100 * time.Microsecond
+	// reportInterval is the interval at which a first owner repeats to the other
+	// owners that a replica is warm.
 	reportInterval = time.Second
-	// pollInterval is how often a first owner asks a lost replica for a sign of
-	// life.
-	pollInterval = time.Second
+	// probeInterval is the interval at which a first owner probes a lost replica.
+	probeInterval = time.Second
 )
 
-// owned is an owner's part of one replica.
-type owned struct {
-	node        *node
-	replica     *config.Replica
-	server      *server
-	limiter     *limit.Limiter
-	first       bool
-	others      []*owned
-	queue       []*task
-	incarnation int
-	told        pb.ReplicaState
-	// held is the snapshot that the replica last said it holds, 0 before that.
+// ownedReplica is the state of one replica at one of its owners.
+type ownedReplica struct {
+	node          *node
+	replica       *config.Replica
+	server        *server
+	limiter       *limit.Limiter
+	isFirst       bool
+	others        []*ownedReplica
+	queue         []*task
+	incarnation   int
+	reportedState pb.ReplicaState
+	// held is the snapshot that the replica last reported, or 0.
 	held uint64
 }
 
 // task is a subrequest at its owner.
 type task struct {
-	sent  *sent
-	extra bool
-	reply *pb.SubrequestResult
-	done  func(*pb.SubrequestResult)
-	// start is when it got its place in the limit.
+	attempt *attempt
+	extra   bool
+	reply   *pb.SubrequestResult
+	done    func(*pb.SubrequestResult)
+	// start is the time at which the task acquired a concurrency slot.
 	start time.Time
 }
 
-// serve takes one subrequest at the owner.
-func (n *node) serve(a *sent, s query.Send, reply func(*pb.SubrequestResult)) {
+// serve handles a subrequest at an owner of the replica.
+func (n *node) serve(a *attempt, s query.Send, reply func(*pb.SubrequestResult)) {
 	o := n.owned[s.Replica.Name]
-	t := &task{sent: a, extra: s.Extra, done: reply, reply: &pb.SubrequestResult{
+	t := &task{attempt: a, extra: s.Extra, done: reply, reply: &pb.SubrequestResult{
 		Attempt: s.Attempt, Shard: s.Shard.Name, Replica: s.Replica.Name,
 		Snapshot: s.Snapshot, Generation: s.Generation,
 	}}
 	a.task = t
-	if n.run.scenario.Policy == Baseline {
+	if n.sim.scenario.Policy == Baseline {
 		o.send(t)
 		return
 	}
-	switch why := o.limiter.TryAcquire(n.run.loop.now()); {
-	case why == pb.Reason_REASON_UNSPECIFIED:
+	switch reason := o.limiter.TryAcquire(n.sim.loop.now()); {
+	case reason == pb.Reason_REASON_UNSPECIFIED:
 		o.send(t)
-	case why == pb.Reason_REASON_LIMIT && !t.extra && o.limiter.MayWait(n.run.loop.now(), len(o.queue)):
+	case reason == pb.Reason_REASON_LIMIT && !t.extra && o.limiter.MayWait(n.sim.loop.now(), len(o.queue)):
 		o.queue = append(o.queue, t)
 	default:
-		o.refuse(t, why)
+		o.refuse(t, reason)
 	}
 }
 
-func (o *owned) refuse(t *task, why pb.Reason) {
-	t.reply.Reason = why
+func (o *ownedReplica) refuse(t *task, reason pb.Reason) {
+	t.reply.Reason = reason
 	t.reply.Evidence = pb.Evidence_EVIDENCE_NOT_RUN
-	t.reply.News = o.news()
+	t.reply.News = o.status()
 	t.done(t.reply)
 }
 
-// send passes a task with a place in the limit on to the server.
-func (o *owned) send(t *task) {
-	loop := o.node.run.loop
+// send forwards a task that holds a concurrency slot to the server.
+func (o *ownedReplica) send(t *task) {
+	loop := o.node.sim.loop
 	t.start = loop.now()
-	t.sent.job = &job{query: t.sent.query.id, snapshot: t.reply.Snapshot, done: func(answer serverReply) {
-		loop.after(backendHop, func() {
-			if o.node.run.scenario.Policy == Carobmill {
-				o.answered(t.start, answer)
+	t.attempt.job = &job{query: t.attempt.query.id, snapshot: t.reply.Snapshot, done: func(answer serverReply) {
+		loop.after(backendDelay, func() {
+			if o.node.sim.scenario.Policy == Carobmill {
+				o.complete(t.start, answer)
 			}
-			fill(t.reply, answer)
-			t.reply.News = o.news()
+			fillReply(t.reply, answer)
+			t.reply.News = o.status()
 			t.done(t.reply)
 		})
 	}}
-	loop.after(backendHop, func() { o.server.arrive(t.sent.job) })
+	loop.after(backendDelay, func() { o.server.arrive(t.attempt.job) })
 }
 
-// takeQueued gives free places to the tasks that wait, and refuses them when the
-// replica may not be used any more.
-func (o *owned) takeQueued() {
+// dispatchQueued sends queued tasks while slots are free. It refuses them if the
+// replica is no longer usable.
+func (o *ownedReplica) dispatchQueued() {
 	for len(o.queue) > 0 {
-		why := o.limiter.TryAcquire(o.node.run.loop.now())
-		if why == pb.Reason_REASON_LIMIT {
+		reason := o.limiter.TryAcquire(o.node.sim.loop.now())
+		if reason == pb.Reason_REASON_LIMIT {
 			return
 		}
 		t := o.queue[0]
 		o.queue = o.queue[1:]
-		if why == pb.Reason_REASON_UNSPECIFIED {
+		if reason == pb.Reason_REASON_UNSPECIFIED {
 			o.send(t)
 		} else {
-			o.refuse(t, why)
+			o.refuse(t, reason)
 		}
 	}
 }
 
-func fill(r *pb.SubrequestResult, answer serverReply) {
+func fillReply(r *pb.SubrequestResult, answer serverReply) {
 	r.Reason = answer.reason
 	r.Snapshot = answer.snapshot
-	r.Result = rowsOf(answer.snapshot)
+	r.Result = resultBody(answer.snapshot)
 	switch answer.reason {
 	case pb.Reason_REASON_UNSPECIFIED:
 		r.Evidence = pb.Evidence_EVIDENCE_RAN
@@ -123,10 +122,10 @@
 	}
 }
 
-// answered ends a request at the limiter.
-func (o *owned) answered(start time.Time, answer serverReply) {
-	now := o.node.run.loop.now()
-	sample := limit.Sample{Latency: now.Sub(start), Siblings: o.node.subrequests.At(0.5)}
+// complete releases a request's slot and reports the outcome to the limiter.
+func (o *ownedReplica) complete(start time.Time, answer serverReply) {
+	now := o.node.sim.loop.now()
+	sample := limit.Sample{Latency: now.Sub(start), Siblings: o.node.warmLatencies.At(0.5)}
 	if answer.held != 0 {
 		o.held = answer.held
 	}
@@ -143,12 +142,12 @@
 		sample.Result = limit.ResultConnection
 	}
 	o.limiter.Release(now, sample)
-	o.tell()
-	o.takeQueued()
+	o.reportChange()
+	o.dispatchQueued()
 }
 
-// withdraw cancels a subrequest at the owner and then at the server.
-func (n *node) withdraw(a *sent, replica *config.Replica) {
+// cancelAtOwner cancels a subrequest at the owner and, if it was sent, at the server.
+func (n *node) cancelAtOwner(a *attempt, replica *config.Replica) {
 	o := n.owned[replica.Name]
 	if i := slices.Index(o.queue, a.task); i >= 0 {
 		o.queue = slices.Delete(o.queue, i, i+1)
@@ -158,25 +157,25 @@
 	if j == nil || j.ended {
 		return
 	}
-	limited := n.run.scenario.Policy == Carobmill
+	limited := n.sim.scenario.Policy == Carobmill
 	if limited && o.limiter.LetFinish() {
 		return
 	}
 	j.done = func(serverReply) {}
-	n.run.loop.after(backendHop, func() { o.server.cancel(j) })
+	n.sim.loop.after(backendDelay, func() { o.server.cancel(j) })
 	if !limited {
 		return
 	}
-	now := n.run.loop.now()
+	now := n.sim.loop.now()
 	o.limiter.Release(now, limit.Sample{
 		Latency: now.Sub(a.task.start), Result: limit.ResultCancelled,
-		Siblings: n.subrequests.At(0.5),
+		Siblings: n.warmLatencies.At(0.5),
 	})
-	o.tell()
-	o.takeQueued()
+	o.reportChange()
+	o.dispatchQueued()
 }
 
-func (o *owned) news() *pb.ReplicaNews {
+func (o *ownedReplica) status() *pb.ReplicaNews {
 	return &pb.ReplicaNews{
 		Replica: o.replica.Name, State: o.limiter.State(),
 		InFlight: uint32(o.limiter.InFlight()), Limit: uint32(o.limiter.Limit()),
@@ -184,57 +183,59 @@
 	}
 }
 
-// tell passes a changed state on to the replica's other owners.
-func (o *owned) tell() {
-	o.noteFull()
+// reportChange reports a changed state to the other owners of the replica.
+func (o *ownedReplica) reportChange() {
+	o.recordFullShare()
 	state := o.limiter.State()
-	if state == o.told {
+	if state == o.reportedState {
 		return
 	}
-	o.told = state
-	o.report(state)
+	o.reportedState = state
+	o.reportState(state)
 }
 
-func (o *owned) report(state pb.ReplicaState) {
-	loop := o.node.run.loop
+func (o *ownedReplica) reportState(state pb.ReplicaState) {
+	loop := o.node.sim.loop
 	for _, other := range o.others {
-		loop.after(o.node.hop(other.node), func() {
+		loop.after(o.node.networkDelay(other.node), func() {
 			switch {
 			case state == pb.ReplicaState_REPLICA_STATE_COLD:
 				other.limiter.Observe(loop.now(), limit.SignColdReport)
-			case state == pb.ReplicaState_REPLICA_STATE_WARM && o.first:
+			case state == pb.ReplicaState_REPLICA_STATE_WARM && o.isFirst:
 				other.limiter.Warm(loop.now())
 			}
 		})
 	}
 }
 
-// reportWarm repeats the good news, which a distrustful owner ignored before.
-func (o *owned) reportWarm() {
+// reportWarm periodically repeats the warm state. Without it, an owner that ignored
+// an earlier report after a cold-start signal would keep its limit low.
+func (o *ownedReplica) reportWarm() {
 	if o.limiter.State() == pb.ReplicaState_REPLICA_STATE_WARM {
-		o.report(pb.ReplicaState_REPLICA_STATE_WARM)
+		o.reportState(pb.ReplicaState_REPLICA_STATE_WARM)
 	}
-	o.node.run.loop.after(reportInterval, o.reportWarm)
+	o.node.sim.loop.after(reportInterval, o.reportWarm)
 }
 
-// poll asks a lost replica for a sign of life.
-func (o *owned) poll() {
-	loop := o.node.run.loop
+// probe marks a lost replica as reachable once its server accepts connections.
+func (o *ownedReplica) probe() {
+	loop := o.node.sim.loop
 	if o.limiter.State() == pb.ReplicaState_REPLICA_STATE_LOST && !o.server.down {
 		o.limiter.Observe(loop.now(), limit.SignReachable)
-		o.tell()
+		o.reportChange()
 	}
-	loop.after(pollInterval, o.poll)
+	loop.after(probeInterval, o.probe)
 }
 
-// noteFull records when a replica that was cold has its full share again.
-func (o *owned) noteFull() {
-	result := &o.node.run.servers[o.node.run.position[o.replica.Name]].full
+// recordFullShare records when the owner first considers the replica warm. A
+// replica that is not warm resets the record.
+func (o *ownedReplica) recordFullShare() {
+	result := &o.node.sim.servers[o.node.sim.position[o.replica.Name]].fullShareAt
 	if o.limiter.State() != pb.ReplicaState_REPLICA_STATE_WARM {
 		*result = 0
 		return
 	}
 	if *result == 0 {
-		*result = o.node.run.loop.elapsed
+		*result = o.node.sim.loop.elapsed
 	}
 }
--- a/policy/bench/run.go
+++ b/policy/bench/run.go
@@ -13,7 +13,7 @@
 
 const dataCentres = 4
 
-type run struct {
+type simulation struct {
 	scenario Scenario
 	loop     *loop
 	rng      *rand.Rand
@@ -21,7 +21,7 @@
 	nodes    []*node
 	servers  []*modelServer
 	position map[string]int
-	owners   map[string][]*owned
+	owners   map[string][]*ownedReplica
 	result   Result
 	coverage float64
 	from, to time.Duration
@@ -29,22 +29,22 @@
 
 type modelServer struct {
 	server
-	full time.Duration
+	fullShareAt time.Duration
 }
 
-// Run carries a scenario out.
+// Run simulates a scenario and returns its result.
 func Run(s Scenario) *Result {
-	r := &run{
+	r := &simulation{
 		scenario: s, loop: &loop{},
 		rng:      rand.New(rand.NewPCG(s.Seed, 1)),
 		position: make(map[string]int),
-		owners:   make(map[string][]*owned),
+		owners:   make(map[string][]*ownedReplica),
 	}
 	r.build()
 	for _, f := range s.Faults {
-		r.loop.after(f.At, func() { r.strike(f) })
+		r.loop.after(f.At, func() { r.injectFault(f) })
 	}
-	r.planFlips()
+	r.scheduleRollouts()
 	at := time.Duration(0)
 	for id := range s.uncounted() + s.Queries {
 		rate := s.Rate
@@ -67,7 +67,7 @@
 	return r.finish()
 }
 
-func (r *run) build() {
+func (r *simulation) build() {
 	s := r.scenario
 	for i := range s.Nodes {
 		r.nodes = append(r.nodes, newNode(r, i))
@@ -84,7 +84,7 @@
 	r.service.Generations = []*config.Generation{gen}
 }
 
-func (r *run) addReplica(shard, j int) *config.Replica {
+func (r *simulation) addReplica(shard, j int) *config.Replica {
 	s := r.scenario
 	dc := (shard + j) % dataCentres
 	replica := &config.Replica{
@@ -94,11 +94,11 @@
 	position := len(r.servers)
 	server := &modelServer{server: server{
 		loop: r.loop, rng: rand.New(rand.NewPCG(s.Seed, uint64(1000+position))),
-		mean: s.Service, slots: s.Slots, slow: 1, chance: s.SlowProbability,
-		bears: s.ColdInFlight, held: firstSnapshot, log: serverLog{ran: make(map[int]bool)},
+		meanServiceTime: s.Service, slots: s.Slots, slowFactor: 1, slowProbability: s.SlowProbability,
+		coldLimit: s.ColdInFlight, held: firstSnapshot, log: serverLog{acceptedQueries: make(map[int]bool)},
 	}}
 	if s.SlowEvery > 0 && position%s.SlowEvery == s.SlowEvery/4 {
-		server.slow = s.SlowFactor
+		server.slowFactor = s.SlowFactor
 	}
 	r.servers = append(r.servers, server)
 	r.position[replica.Name] = position
@@ -106,23 +106,23 @@
 	return replica
 }
 
-// addOwners gives a replica to the nodes of its data centre; the first owner
-// alternates between them.
-func (r *run) addOwners(replica *config.Replica, server *modelServer, dc int) {
-	var owners []*owned
+// addOwners makes all nodes of the replica's data centre its owners. The nodes take
+// turns as first owner.
+func (r *simulation) addOwners(replica *config.Replica, server *modelServer, dc int) {
+	var owners []*ownedReplica
 	for _, n := range r.nodes {
 		if n.dc == dc {
-			owners = append(owners, &owned{node: n, replica: replica, server: &server.server})
+			owners = append(owners, &ownedReplica{node: n, replica: replica, server: &server.server})
 		}
 	}
 	first := r.position[replica.Name] / dataCentres % len(owners)
 	owners[0], owners[first] = owners[first], owners[0]
 	for i, o := range owners {
-		o.first = i == 0
+		o.isFirst = i == 0
 		o.limiter = limit.New(limit.Params{
 			MaxInFlight:  max(1, 2*r.scenario.Slots/len(owners)),
 			ColdInFlight: r.scenario.ColdInFlight,
-			First:        o.first,
+			First:        o.isFirst,
 			Exclusive:    r.scenario.Exclusive,
 		}, r.loop.now())
 		o.node.owned[replica.Name] = o
@@ -135,19 +135,20 @@
 	r.owners[replica.Name] = owners
 	if r.scenario.Policy == Carobmill {
 		owners[0].reportWarm()
-		owners[0].poll()
+		owners[0].probe()
 	}
 }
 
-func (r *run) server(replica *config.Replica) *server {
+func (r *simulation) server(replica *config.Replica) *server {
 	return &r.servers[r.position[replica.Name]].server
 }
 
-// ownerFor chooses the owner to send through: the node itself, the first one
-// while the replica is not known to be warm or has silent cold starts, or any.
-func (r *run) ownerFor(n *node, replica *config.Replica) *node {
+// ownerFor chooses the owner that forwards a subrequest. It is the first owner if
+// the replica is not reported warm or has silent cold starts, otherwise the node
+// itself if it is an owner, otherwise a random owner.
+func (r *simulation) ownerFor(n *node, replica *config.Replica) *node {
 	owners := r.owners[replica.Name]
-	if r.scenario.Exclusive || !n.knowsWarm(replica.Name) {
+	if r.scenario.Exclusive || !n.reportedWarm(replica.Name) {
 		return owners[0].node
 	}
 	for _, o := range owners {
@@ -158,11 +159,11 @@
 	return owners[n.rng.IntN(len(owners))].node
 }
 
-func (r *run) strike(f Fault) {
+func (r *simulation) injectFault(f Fault) {
 	server := r.servers[f.Replica]
 	switch f.Kind {
 	case FaultSilent:
-		server.turnCold(f.WarmUpRequests)
+		server.becomeCold(f.WarmUpRequests)
 	case FaultRestart:
 		server.restart(f.WarmUpRequests)
 		r.closeConnections(f.Replica)
@@ -174,26 +175,26 @@
 	}
 }
 
-// closeConnections lets each owner see its idle connections closed.
-func (r *run) closeConnections(position int) {
+// closeConnections signals a connection reset to each owner of a replica.
+func (r *simulation) closeConnections(position int) {
 	for name, owners := range r.owners {
 		if r.position[name] != position {
 			continue
 		}
 		for _, o := range owners {
-			r.loop.after(backendHop, func() {
+			r.loop.after(backendDelay, func() {
 				o.limiter.Observe(r.loop.now(), limit.SignReset)
-				o.tell()
+				o.reportChange()
 			})
 		}
 	}
 }
 
-func (r *run) counted(id int) bool {
+func (r *simulation) counted(id int) bool {
 	return id >= r.scenario.uncounted()
 }
 
-func (r *run) refused(id, class int, after time.Duration) {
+func (r *simulation) recordRefused(id, class int, after time.Duration) {
 	if !r.counted(id) {
 		return
 	}
@@ -205,19 +206,20 @@
 	r.loop.after(2*r.scenario.Deadline, func() { r.checkNotRun(id) })
 }
 
-// checkNotRun looks a refused query up in the logs of all servers.
-func (r *run) checkNotRun(id int) {
+// checkNotRun counts a refused query that some server accepted. A refusal must mean
+// that no server ran any part of the query.
+func (r *simulation) checkNotRun(id int) {
 	for _, s := range r.servers {
-		if s.log.ran[id] {
+		if s.log.acceptedQueries[id] {
 			r.result.FalseNotRun++
 			return
 		}
 	}
 }
 
-func (r *run) ended(q *entryQuery, answer *query.Answer, took time.Duration) {
+func (r *simulation) recordEnded(q *entryQuery, answer *query.Answer, took time.Duration) {
 	if answer.Outcome == query.Refused {
-		r.refused(q.id, q.class, took)
+		r.recordRefused(q.id, q.class, took)
 		return
 	}
 	if !r.counted(q.id) {
@@ -225,7 +227,7 @@
 	}
 	r.coverage += answer.Coverage
 	r.result.Hedges += answer.Stats.Hedges
-	r.noteSnapshots(answer)
+	r.checkSnapshots(answer)
 	if q.class == classHigh {
 		r.result.OfferedHigh++
 		r.result.High = append(r.result.High, took)
@@ -242,7 +244,7 @@
 	}
 }
 
-func (r *run) finish() *Result {
+func (r *simulation) finish() *Result {
 	res := &r.result
 	res.All = append(slices.Clone(res.High), res.Low...)
 	slices.Sort(res.High)
@@ -254,8 +256,8 @@
 	for _, s := range r.servers {
 		accepted += s.log.accepted
 		res.Servers = append(res.Servers, ServerResult{
-			Excess: s.log.overborne, LastExcess: s.log.lastOverborne, ColdPeak: s.log.coldPeak, Shed: s.log.shed,
-			WarmAt: s.log.warmAt, FullShareAt: s.full, AcceptedPerSecond: s.log.perSecond,
+			Excess: s.log.excess, LastExcess: s.log.lastExcess, ColdPeak: s.log.coldPeak, Shed: s.log.shed,
+			WarmAt: s.log.warmAt, FullShareAt: s.fullShareAt, AcceptedPerSecond: s.log.perSecond,
 		})
 	}
 	admitted := r.scenario.uncounted() + r.scenario.Queries - res.Refused
--- a/policy/bench/scenario.go
+++ b/policy/bench/scenario.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Policy is what a run decides by.
+// Policy selects the decision logic of a run.
 type Policy int
 
 const (
-	// Baseline picks replicas at random and uses none of the other decisions.
+	// Baseline picks replicas at random, without hedging, limits or admission.
 	Baseline Policy = iota
 	// Carobmill uses the policy packages.
 	Carobmill
 )
 
-// Scenario is one run.
+// Scenario configures one run.
 type Scenario struct {
 	Seed     uint64
 	Policy   Policy
@@ -20,105 +20,108 @@
 	Shards   int
 	Replicas int
 	Slots    int
-	// ColdInFlight is what a cold replica bears.
+	// ColdInFlight is the concurrency limit of a cold replica.
 	ColdInFlight int
-	// Exclusive states that replicas have silent cold starts: one owner alone sends
-	// to each, never more than ColdInFlight at once.
+	// Exclusive is set if replicas have silent cold starts. Only one owner sends to
+	// each replica, with at most ColdInFlight requests in flight.
 	Exclusive bool
-	// Service is the mean time of a subrequest at a replica, Deadline that of a
-	// query.
+	// Service is the mean service time of a subrequest at a replica. Deadline is the
+	// deadline of a query.
 	Service  time.Duration
 	Deadline time.Duration
-	// Rate is in queries a second, from which HighShare are of the high class.
+	// Rate is the number of queries per second. HighShare is the fraction of them in
+	// the high class.
 	Rate      float64
 	HighShare float64
-	// Queries are counted after Warmup others, which come at WarmupRate, or at
-	// Rate when that is 0, and after Transient more at Rate.
+	// Warmup, Transient and Queries are numbers of queries, sent in this order. Only
+	// Queries are measured. Warmup queries arrive at WarmupRate, or at Rate if
+	// WarmupRate is 0. All others arrive at Rate.
 	Queries, Warmup, Transient int
 	WarmupRate                 float64
-	// SlowEvery makes one replica in so many SlowFactor times slower; Chance is
-	// the part of subrequests that are ten times slower at random.
+	// SlowEvery makes one replica in SlowEvery slower by SlowFactor. SlowProbability is
+	// the probability that a subrequest takes ten times as long.
 	SlowEvery       int
 	SlowFactor      float64
 	SlowProbability float64
-	// Faults strike replicas while the run goes on.
+	// Faults are injected during the run.
 	Faults  []Fault
 	Rollout SnapshotRollout
 }
 
-// Fault is something that happens to one replica.
+// Fault is a failure injected into one replica.
 type Fault struct {
 	At      time.Duration
 	Kind    FaultKind
 	Replica int
-	// Downtime is how long a replica is down.
+	// Downtime is the time for which FaultDown refuses connections.
 	Downtime time.Duration
-	// WarmUpRequests is how many a cold replica serves until it is warm.
+	// WarmUpRequests is the number of requests after which a cold replica is warm.
 	WarmUpRequests int
 }
 
-// FaultKind says what happens to a replica.
+// FaultKind is the type of a fault.
 type FaultKind int
 
 const (
-	// FaultRestart closes all connections; the replica is cold at once.
-	FaultRestart FaultKind = iota
-	// FaultDown refuses connections for a time, then the replica comes back
+	// FaultRestart closes all connections. The replica restarts immediately and is
 	// cold.
+	FaultRestart FaultKind = iota
+	// FaultDown refuses connections for Downtime. Afterwards the replica is cold.
 	FaultDown
-	// FaultSilent turns the replica cold with its connections open.
+	// FaultSilent makes the replica cold without closing its connections.
 	FaultSilent
 )
 
-// Result is what a run came to.
+// Result contains the measurements of a run.
 type Result struct {
-	// High and Low are the latencies of answered queries by class, sorted.
+	// High and Low are the sorted latencies of answered queries by class.
 	High, Low []time.Duration
-	// All holds both.
+	// All contains the latencies of both classes, sorted.
 	All []time.Duration
-	// Complete, Partial and Refused count queries; CompleteHigh those of the
-	// high class, of OfferedHigh.
+	// Complete, Partial and Refused count queries by outcome. CompleteHigh and
+	// OfferedHigh count the complete and the offered queries of the high class.
 	Complete, Partial, Refused int
 	CompleteHigh, OfferedHigh  int
-	// Coverage is the mean over all queries that were not refused.
+	// Coverage is the mean coverage of all queries that were not refused.
 	Coverage float64
-	// Extra is subrequests accepted by servers beyond one a shard, as a part of
-	// those.
+	// Extra is the ratio of additional subrequests, such as hedges and retries, to
+	// the minimum of one per shard of each admitted query.
 	Extra float64
 	// Span is the virtual time of the counted queries.
 	Span time.Duration
-	// FalseNotRun counts refused queries that some server did run.
+	// FalseNotRun counts refused queries of which a server accepted a subrequest.
 	FalseNotRun int
-	// SlowestRefusal is the longest time that a refused query waited.
+	// SlowestRefusal is the longest time from arrival to refusal of a query.
 	SlowestRefusal time.Duration
 	Hedges         int
-	// Restarted counts queries that started over at another snapshot, Mixed those
-	// with rows of another snapshot than the answer names.
+	// Restarted counts queries that restarted at another snapshot. Mixed counts
+	// answers that contain rows of another snapshot than their own.
 	Restarted, Mixed int
 	Servers          []ServerResult
 }
 
-// ServerResult is one server's own record.
+// ServerResult contains the measurements of one server.
 type ServerResult struct {
-	// Excess counts requests beyond what the cold server bore, the last one at
-	// LastExcess; ColdPeak is the most it had in flight.
+	// Excess counts requests above the concurrency limit of the cold server.
+	// LastExcess is the time of the last one. ColdPeak is the maximum number of
+	// requests in flight while the server was cold.
 	Excess     int
 	LastExcess time.Duration
 	ColdPeak   int
 	Shed       int
-	// WarmAt is when the server became warm, FullShareAt when an owner gave it its
-	// full share again.
+	// WarmAt is the time at which the server became warm. FullShareAt is the time at
+	// which an owner first considered it warm again.
 	WarmAt, FullShareAt time.Duration
-	// AcceptedPerSecond counts the requests accepted in each second of the run.
+	// AcceptedPerSecond counts the accepted requests by second of the run.
 	AcceptedPerSecond []int
 }
 
-// Goodput returns the complete answers a second.
+// Goodput returns the number of complete answers per second.
 func (r *Result) Goodput() float64 {
 	return float64(r.Complete) / r.Span.Seconds()
 }
 
-// Quantile returns a quantile of sorted latencies.
+// Quantile returns the q-quantile of sorted latencies, or 0 if there are none.
 func Quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/policy/bench/server.go
+++ b/policy/bench/server.go
@@ -10,74 +10,76 @@
 )
 
 const (
-	// spread is the sigma of the log-normal service time.
-	spread = 0.25
-	// queuePerSlot bounds a server's queue; it sheds beyond.
+	// serviceTimeSigma is the sigma of the log-normal service time distribution.
+	serviceTimeSigma = 0.25
+	// queuePerSlot is the queue capacity per slot. A server with a full queue sheds
+	// requests.
 	queuePerSlot = 4
-	// coldFactor is how much slower a cold server is at first. It falls to 1 as
-	// the server warms up.
-	coldFactor = 6
-	// fallFactor slows a cold server with each request more than it bears.
-	fallFactor = 2
+	// coldSlowdown multiplies the service time of a cold server.
+	coldSlowdown = 6
+	// overloadSlowdown multiplies the service time of a cold server once for each
+	// request above its concurrency limit.
+	overloadSlowdown = 2
 )
 
-// job is one subrequest at a server.
+// job is a subrequest at a server.
 type job struct {
 	query int
-	// snapshot to serve; 0 leaves the choice to the server.
+	// snapshot is the requested snapshot; 0 lets the server choose.
 	snapshot uint64
 	done     func(serverReply)
 	ended    bool
 }
 
-// serverReply is what a backend server answers.
+// serverReply is the reply of a backend server.
 type serverReply struct {
 	reason      pb.Reason
 	incarnation int
-	// snapshot that was served, held the one that the server holds now.
+	// snapshot is the one that was served, held the one that the server holds.
 	snapshot, held uint64
 }
 
-// server is a backend server with slots and a bounded queue.
+// server models a backend server with slots and a bounded queue.
 type server struct {
-	loop    *loop
-	rng     *rand.Rand
-	mean    time.Duration
-	slots   int
-	slow    float64
-	chance  float64
-	down    bool
-	running []*job
-	waiting []*job
+	loop            *loop
+	rng             *rand.Rand
+	meanServiceTime time.Duration
+	slots           int
+	slowFactor      float64
+	slowProbability float64
+	down            bool
+	running         []*job
+	waiting         []*job
 
 	incarnation int
-	// held is the one snapshot that the server holds.
+	// held is the only snapshot of the server.
 	held uint64
-	// careless servers answer from it whatever they are asked for.
-	careless bool
-	// cold counts the requests that the server still has to serve until it is
-	// warm; bears is what it takes at once until then.
-	cold  int
-	bears int
+	// ignoresSnapshot makes the server answer from held even if the request names
+	// another snapshot.
+	ignoresSnapshot bool
+	// coldRemaining is the number of requests to serve until the server is warm.
+	// coldLimit is its concurrency limit until then.
+	coldRemaining int
+	coldLimit     int
 
 	log serverLog
 }
 
-// serverLog is the server's own record of what reached it.
+// serverLog contains the measurements of a server.
 type serverLog struct {
-	// ran holds queries of which some request was accepted.
-	ran      map[int]bool
-	accepted int
-	// perSecond counts the same by the virtual second of arrival.
+	// acceptedQueries contains the queries of which the server accepted a request.
+	acceptedQueries map[int]bool
+	accepted        int
+	// perSecond counts accepted requests by the virtual second of arrival.
 	perSecond []int
 	shed      int
-	// overborne counts requests in flight beyond what a cold server bears, those
-	// that it had when it turned cold included, lastOverborne is when the last
-	// came, and coldPeak the most it had in flight.
-	overborne     int
-	lastOverborne time.Duration
-	coldPeak      int
-	warmAt        time.Duration
+	// excess counts requests above the concurrency limit of the cold server,
+	// including those in flight when it became cold. lastExcess is the time of the
+	// last one. coldPeak is the maximum number in flight while it was cold.
+	excess     int
+	lastExcess time.Duration
+	coldPeak   int
+	warmAt     time.Duration
 }
 
 func (l *serverLog) accept(at time.Duration) {
@@ -104,11 +106,11 @@
 		return
 	}
 	s.log.accept(s.loop.elapsed)
-	s.log.ran[j.query] = true
-	if s.cold > 0 {
-		if s.inFlight() >= s.bears {
-			s.log.overborne++
-			s.log.lastOverborne = s.loop.elapsed
+	s.log.acceptedQueries[j.query] = true
+	if s.coldRemaining > 0 {
+		if s.inFlight() >= s.coldLimit {
+			s.log.excess++
+			s.log.lastExcess = s.loop.elapsed
 		}
 		s.log.coldPeak = max(s.log.coldPeak, s.inFlight()+1)
 	}
@@ -120,7 +122,7 @@
 	for len(s.waiting) > 0 && len(s.running) < s.slots {
 		j := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		if j.snapshot != 0 && j.snapshot != s.held && !s.careless {
+		if j.snapshot != 0 && j.snapshot != s.held && !s.ignoresSnapshot {
 			j.end(serverReply{reason: pb.Reason_REASON_NO_SNAPSHOT, incarnation: s.incarnation, held: s.held})
 			continue
 		}
@@ -131,45 +133,45 @@
 }
 
 func (s *server) serviceTime() time.Duration {
-	factor := s.slow * math.Exp(spread*s.rng.NormFloat64()-spread*spread/2)
-	if s.rng.Float64() < s.chance {
+	factor := s.slowFactor * math.Exp(serviceTimeSigma*s.rng.NormFloat64()-serviceTimeSigma*serviceTimeSigma/2)
+	if s.rng.Float64() < s.slowProbability {
 		factor *= 10
 	}
-	if s.cold > 0 {
-		factor *= coldFactor
-		for range s.inFlight() - s.bears {
-			factor *= fallFactor
+	if s.coldRemaining > 0 {
+		factor *= coldSlowdown
+		for range s.inFlight() - s.coldLimit {
+			factor *= overloadSlowdown
 		}
 	}
-	return time.Duration(factor * float64(s.mean))
+	return time.Duration(factor * float64(s.meanServiceTime))
 }
 
 func (s *server) finish(j *job) {
 	if j.ended {
 		return
 	}
-	if s.cold > 0 {
-		s.cold--
-		if s.cold == 0 {
+	if s.coldRemaining > 0 {
+		s.coldRemaining--
+		if s.coldRemaining == 0 {
 			s.log.warmAt = s.loop.elapsed
 		}
 	}
-	s.leave(j)
+	s.remove(j)
 	j.end(serverReply{incarnation: s.incarnation, snapshot: j.snapshot, held: s.held})
 	s.start()
 }
 
-// cancel frees the place of a request that is no longer wanted.
+// cancel removes a request and frees its slot.
 func (s *server) cancel(j *job) {
 	if j.ended {
 		return
 	}
-	s.leave(j)
+	s.remove(j)
 	j.ended = true
 	s.start()
 }
 
-func (s *server) leave(j *job) {
+func (s *server) remove(j *job) {
 	if i := slices.Index(s.running, j); i >= 0 {
 		s.running = slices.Delete(s.running, i, i+1)
 	}
@@ -178,23 +180,23 @@
 	}
 }
 
-// turnCold makes the server cold with its connections open. What it has in flight
-// beyond what it bears counts like what comes later.
-func (s *server) turnCold(requests int) {
-	s.cold = requests
+// becomeCold makes the server cold without closing its connections. Requests in
+// flight above its concurrency limit count as excess.
+func (s *server) becomeCold(requests int) {
+	s.coldRemaining = requests
 	s.log.coldPeak = max(s.log.coldPeak, s.inFlight())
-	if excess := s.inFlight() - s.bears; excess > 0 {
-		s.log.overborne += excess
-		s.log.lastOverborne = s.loop.elapsed
+	if excess := s.inFlight() - s.coldLimit; excess > 0 {
+		s.log.excess += excess
+		s.log.lastExcess = s.loop.elapsed
 	}
 }
 
-// restart closes all connections and comes back cold.
+// restart fails all requests with a connection error and makes the server cold.
 func (s *server) restart(requests int) {
 	lost := append(s.running, s.waiting...)
 	s.running, s.waiting = nil, nil
 	s.incarnation++
-	s.cold = requests
+	s.coldRemaining = requests
 	for _, j := range lost {
 		j.end(serverReply{reason: pb.Reason_REASON_CONNECTION})
 	}
