--- a/policy/bench/node.go
+++ b/policy/bench/node.go
@@ -189,7 +189,7 @@
 	now := n.sim.loop.now()
 	took := now.Sub(a.at)
 	n.routing.Done(s.Replica.Name, now, took, routingResult(r))
-	n.routing.News(r.GetNews(), now)
+	n.routing.ApplyReport(r.GetNews(), now)
 	n.recordSnapshot(r.GetNews())
 	if r.GetReason() == pb.Reason_REASON_UNSPECIFIED &&
 		r.GetNews().GetState() == pb.ReplicaState_REPLICA_STATE_WARM {
@@ -266,9 +266,9 @@
 	if n.sim.scenario.Policy == Baseline {
 		return hedge.Never
 	}
-	return hedge.After(hedge.Siblings{
+	return hedge.After(hedge.Progress{
 		Answered: answered, Total: total, Slowest: slowest,
-		Loaded: n.admission.Pressure() >= 1,
+		Overloaded: n.admission.Pressure() >= 1,
 	}, &n.warmLatencies)
 }
 
--- a/policy/bench/owner.go
+++ b/policy/bench/owner.go
@@ -59,7 +59,7 @@
 	switch reason := o.limiter.TryAcquire(n.sim.loop.now()); {
 	case reason == pb.Reason_REASON_UNSPECIFIED:
 		o.send(t)
-	case reason == pb.Reason_REASON_LIMIT && !t.extra && o.limiter.MayWait(n.sim.loop.now(), len(o.queue)):
+	case reason == pb.Reason_REASON_LIMIT && !t.extra && o.limiter.MayQueue(n.sim.loop.now(), len(o.queue)):
 		o.queue = append(o.queue, t)
 	default:
 		o.refuse(t, reason)
@@ -125,7 +125,7 @@
 // complete releases a request's slot and reports the outcome to the limiter.
 func (o *ownedReplica) complete(start time.Time, answer serverReply) {
 	now := o.node.sim.loop.now()
-	sample := limit.Sample{Latency: now.Sub(start), Siblings: o.node.warmLatencies.At(0.5)}
+	sample := limit.Sample{Latency: now.Sub(start), PeerLatency: o.node.warmLatencies.At(0.5)}
 	if answer.held != 0 {
 		o.held = answer.held
 	}
@@ -133,13 +133,13 @@
 	case pb.Reason_REASON_UNSPECIFIED, pb.Reason_REASON_NO_SNAPSHOT:
 		if answer.incarnation != o.incarnation {
 			o.incarnation = answer.incarnation
-			o.limiter.Observe(now, limit.SignIncarnation)
+			o.limiter.Observe(now, limit.SignalIncarnation)
 		}
 		sample.Result = limit.ResultOK
 	case pb.Reason_REASON_SHED:
 		sample.Result = limit.ResultShed
 	default:
-		sample.Result = limit.ResultConnection
+		sample.Result = limit.ResultConnectionFailed
 	}
 	o.limiter.Release(now, sample)
 	o.reportChange()
@@ -158,7 +158,7 @@
 		return
 	}
 	limited := n.sim.scenario.Policy == Carobmill
-	if limited && o.limiter.LetFinish() {
+	if limited && o.limiter.RunToCompletion() {
 		return
 	}
 	j.done = func(serverReply) {}
@@ -169,7 +169,7 @@
 	now := n.sim.loop.now()
 	o.limiter.Release(now, limit.Sample{
 		Latency: now.Sub(a.task.start), Result: limit.ResultCancelled,
-		Siblings: n.warmLatencies.At(0.5),
+		PeerLatency: n.warmLatencies.At(0.5),
 	})
 	o.reportChange()
 	o.dispatchQueued()
@@ -200,9 +200,9 @@
 		loop.after(o.node.networkDelay(other.node), func() {
 			switch {
 			case state == pb.ReplicaState_REPLICA_STATE_COLD:
-				other.limiter.Observe(loop.now(), limit.SignColdReport)
+				other.limiter.Observe(loop.now(), limit.SignalColdReport)
 			case state == pb.ReplicaState_REPLICA_STATE_WARM && o.isFirst:
-				other.limiter.Warm(loop.now())
+				other.limiter.ObserveWarm(loop.now())
 			}
 		})
 	}
@@ -221,7 +221,7 @@
 func (o *ownedReplica) probe() {
 	loop := o.node.sim.loop
 	if o.limiter.State() == pb.ReplicaState_REPLICA_STATE_LOST && !o.server.down {
-		o.limiter.Observe(loop.now(), limit.SignReachable)
+		o.limiter.Observe(loop.now(), limit.SignalReachable)
 		o.reportChange()
 	}
 	loop.after(probeInterval, o.probe)
--- a/policy/bench/rollout.go
+++ b/policy/bench/rollout.go
@@ -87,7 +87,7 @@
 
 func (n *node) recordSnapshot(status *pb.ReplicaNews) {
 	n.newest = max(n.newest, status.GetNewestSnapshot())
-	n.snapshots.Note(status.GetReplica(), snapshot.Range{
+	n.snapshots.Update(status.GetReplica(), snapshot.Range{
 		Oldest: status.GetOldestSnapshot(), Newest: status.GetNewestSnapshot(),
 	})
 }
--- a/policy/bench/run.go
+++ b/policy/bench/run.go
@@ -183,7 +183,7 @@
 		}
 		for _, o := range owners {
 			r.loop.after(backendDelay, func() {
-				o.limiter.Observe(r.loop.now(), limit.SignReset)
+				o.limiter.Observe(r.loop.now(), limit.SignalReset)
 				o.reportChange()
 			})
 		}
