--- a/policy/bench/rollout_test.go
+++ b/policy/bench/rollout_test.go
@@ -8,8 +8,10 @@
 	"github.com/carobmill/carobmill/policy/bench/bounds"
 )
 
-// A query whose snapshot is dropped by a rollout must restart instead of returning
-// a partial or mixed answer. PinNewest is a broken variant with too many restarts.
+// The index moves to a new snapshot once a minute; each replica drops the old one
+// when it loads the new one. A query that loses its snapshot must restart instead of
+// returning a partial or mixed answer. PinNewest is a broken variant that exceeds
+// the bound on restarts.
 func TestSnapshotRolloutEveryMinute(t *testing.T) {
 	t.Parallel()
 	figures := map[string]float64{}
