--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -41,8 +41,8 @@
 	Owners(r *config.Replica) []fleet.Member
 	Self() fleet.Member
 	Ready() (bool, string)
-	// Suspected takes in that a call to a peer failed.
-	Suspected(node string)
+	// ReportCallFailure takes in that a call to a peer failed.
+	ReportCallFailure(node string)
 }
 
 // Peers carries messages to other owners.
--- a/node/entry/execute.go
+++ b/node/entry/execute.go
@@ -47,7 +47,7 @@
 	if to.Name != self {
 		resp := e.Peers.Execute(ctx, to, req)
 		if resp.GetReason() == pb.Reason_REASON_PEER && ctx.Err() == nil {
-			e.Fleet.Suspected(to.Name)
+			e.Fleet.ReportCallFailure(to.Name)
 		}
 		return resp
 	}
--- a/node/entry/run.go
+++ b/node/entry/run.go
@@ -307,7 +307,7 @@
 	})
 	if err != nil && r.ctx.Err() == nil {
 		r.entry.silent.failed(to.ID(), time.Now())
-		r.entry.Fleet.Suspected(to.Name)
+		r.entry.Fleet.ReportCallFailure(to.Name)
 	}
 	r.replies.Put(missing...)
 }
--- a/node/fleet/envelope.go
+++ b/node/fleet/envelope.go
@@ -14,23 +14,23 @@
 // ErrTooLarge reports an envelope with more changes than a fleet has members.
 var ErrTooLarge = errors.New("envelope carries too many changes")
 
-// OtherFleetError reports a message of another fleet.
-type OtherFleetError struct {
+// FleetMismatchError reports a message of another fleet.
+type FleetMismatchError struct {
 	Fleet string
 }
 
 // Error names the other fleet.
-func (e *OtherFleetError) Error() string {
+func (e *FleetMismatchError) Error() string {
 	return fmt.Sprintf("message of another fleet %q", e.Fleet)
 }
 
-// OtherProtocolError reports a message of another protocol version.
-type OtherProtocolError struct {
+// ProtocolMismatchError reports a message of another protocol version.
+type ProtocolMismatchError struct {
 	Protocol uint32
 }
 
 // Error names the other version.
-func (e *OtherProtocolError) Error() string {
+func (e *ProtocolMismatchError) Error() string {
 	return fmt.Sprintf("message of protocol version %d, this node speaks %d", e.Protocol, Protocol)
 }
 
@@ -110,8 +110,8 @@
 }
 
 // Receive takes in the envelope of a message from a peer. A message whose
-// envelope is refused must not be acted upon. The error is an OtherFleetError,
-// an OtherProtocolError or ErrTooLarge.
+// envelope is refused must not be acted upon. The error is a FleetMismatchError,
+// a ProtocolMismatchError or ErrTooLarge.
 func (f *Fleet) Receive(env *pb.Envelope) error {
 	if err := f.check(env); err != nil {
 		f.stats.refused.Add(1)
@@ -141,9 +141,9 @@
 func (f *Fleet) check(env *pb.Envelope) error {
 	switch {
 	case env.GetFleet() != f.opts.Settings.GetFleet():
-		return &OtherFleetError{Fleet: env.GetFleet()}
+		return &FleetMismatchError{Fleet: env.GetFleet()}
 	case env.GetProtocol() != Protocol:
-		return &OtherProtocolError{Protocol: env.GetProtocol()}
+		return &ProtocolMismatchError{Protocol: env.GetProtocol()}
 	case len(env.GetChanges()) > membership.DefaultParams().MaxMembers+1:
 		return ErrTooLarge
 	}
--- a/node/fleet/fleet.go
+++ b/node/fleet/fleet.go
@@ -232,8 +232,8 @@
 	return f.platformUp.Load()
 }
 
-// Watcher reports whether this node watches the platform's key.
-func (f *Fleet) Watcher() bool {
+// IsWatcher reports whether this node watches the platform's key.
+func (f *Fleet) IsWatcher() bool {
 	return f.view.Load().watcher
 }
 
--- a/node/fleet/membership_test.go
+++ b/node/fleet/membership_test.go
@@ -73,7 +73,7 @@
 		nodes := w.fleetOfEight()
 		w.until(30*time.Second, "all nodes know each other", allKnow(nodes, 8))
 		nodes[7].kill()
-		nodes[0].Suspected("7")
+		nodes[0].ReportCallFailure("7")
 		took := w.until(500*time.Millisecond, "suspected", allKnow(nodes[:1], 7))
 		t.Logf("suspected after %v", took)
 	})
@@ -84,13 +84,13 @@
 	f := New(Options{Settings: &pb.Settings{Node: "0", Fleet: "test"}})
 	env := f.Envelope()
 	env.Fleet = "other"
-	var fleetErr *OtherFleetError
+	var fleetErr *FleetMismatchError
 	if err := f.Receive(env); !errors.As(err, &fleetErr) {
 		t.Fatal(err)
 	}
 	env = f.Envelope()
 	env.Protocol = 9
-	var protocolErr *OtherProtocolError
+	var protocolErr *ProtocolMismatchError
 	if err := f.Receive(env); !errors.As(err, &protocolErr) {
 		t.Fatal(err)
 	}
--- a/node/fleet/ping.go
+++ b/node/fleet/ping.go
@@ -198,10 +198,10 @@
 	return false
 }
 
-// Suspected says that a call to a peer failed, which has the peer pinged at
+// ReportCallFailure says that a call to a peer failed, which has the peer pinged at
 // once. The failed call alone proves too little: a single connection may be
 // broken.
-func (f *Fleet) Suspected(node string) {
+func (f *Fleet) ReportCallFailure(node string) {
 	f.mu.Lock()
 	f.table.PrioritisePing(node)
 	urgent := f.table.HasPriorityPing()
@@ -218,9 +218,9 @@
 	f.tellSome(ctx)
 }
 
-// IsLast reports whether no other node of this node's data centre is alive: when
+// IsLastInDataCentre reports whether no other node of this node's data centre is alive: when
 // this one leaves, nobody takes over its replicas.
-func (f *Fleet) IsLast() bool {
+func (f *Fleet) IsLastInDataCentre() bool {
 	v := f.view.Load()
 	for _, m := range v.candidates[v.self.DataCentre] {
 		if m.ID() != v.self.ID() && m.State == pb.MemberState_MEMBER_STATE_ALIVE {
@@ -230,9 +230,9 @@
 	return true
 }
 
-// Left announces that this node has finished its work. Call it last: what the
+// FinishLeave announces that this node has finished its work. Call it last: what the
 // node held passes to others at once.
-func (f *Fleet) Left(ctx context.Context) {
+func (f *Fleet) FinishLeave(ctx context.Context) {
 	f.unlockAfter(f.table.FinishLeave)
 	f.tellSome(ctx)
 }
--- a/node/fleet/platform.go
+++ b/node/fleet/platform.go
@@ -24,7 +24,7 @@
 			continue
 		}
 		var err error
-		if f.Watcher() {
+		if f.IsWatcher() {
 			after, err = f.watch(ctx, after)
 		} else {
 			err = f.slowPoll(ctx)
@@ -90,7 +90,7 @@
 	if !work.Sleep(ctx, f.jitter(f.timing.slowPoll)) {
 		return ctx.Err()
 	}
-	if f.Watcher() {
+	if f.IsWatcher() {
 		return nil
 	}
 	raw, err := f.readConfiguration(ctx)
@@ -146,7 +146,7 @@
 func (f *Fleet) listLoop(ctx context.Context) {
 	for {
 		interval := otherListInterval
-		if f.Watcher() {
+		if f.IsWatcher() {
 			interval = watcherListInterval
 		}
 		if !work.Sleep(ctx, f.jitter(interval)) {
--- a/node/node/shutdown.go
+++ b/node/node/shutdown.go
@@ -27,7 +27,7 @@
 	untimed := ctx
 	ctx, cancel := context.WithTimeout(ctx, milliseconds(n.settings.GetTiming().GetBalancerLagMs())+drain)
 	defer cancel()
-	last := n.fleet.IsLast()
+	last := n.fleet.IsLastInDataCentre()
 	if !last {
 		// Peers stop sending new subrequests here while the balancer notices.
 		n.fleet.Leave(ctx)
@@ -47,7 +47,7 @@
 	}
 	work.Sleep(ctx, peerGrace)
 	n.stopPeers(ctx)
-	n.fleet.Left(ctx)
+	n.fleet.FinishLeave(ctx)
 	n.log.Info("shutdown: done")
 }
 
--- a/node/node/status.go
+++ b/node/node/status.go
@@ -62,7 +62,7 @@
 		UnreadyReason:     reason,
 		PlatformReachable: n.fleet.PlatformReachable(),
 		PlatformCalls:     n.platform.Calls(),
-		Watcher:           n.fleet.Watcher(),
+		Watcher:           n.fleet.IsWatcher(),
 		Members:           memberChanges(n.fleet.Members()),
 		Owned:             n.owner.Status(),
 	}
--- a/node/peer/scatterpath/fakes.go
+++ b/node/peer/scatterpath/fakes.go
@@ -32,7 +32,7 @@
 func (f *oneOwner) Self() fleet.Member                     { return f.self }
 func (f *oneOwner) Revision() uint64                       { return 1 }
 func (f *oneOwner) Ready() (bool, string)                  { return true, "" }
-func (f *oneOwner) Suspected(string)                       {}
+func (f *oneOwner) ReportCallFailure(string)               {}
 func (f *oneOwner) Receive(*pb.Envelope) error             { return nil }
 
 func (f *oneOwner) Envelope() *pb.Envelope {
