--- a/node/fleet/envelope.go
+++ b/node/fleet/envelope.go
@@ -14,13 +14,13 @@
 // ErrTooLarge reports an envelope with more changes than a fleet has members.
 var ErrTooLarge = errors.New("envelope carries too many changes")
 
-// FleetMismatchError reports a message of another fleet.
-type FleetMismatchError struct {
+// NameMismatchError reports a message of another fleet.
+type NameMismatchError struct {
 	Fleet string
 }
 
 // Error names the other fleet.
-func (e *FleetMismatchError) Error() string {
+func (e *NameMismatchError) Error() string {
 	return fmt.Sprintf("message of another fleet %q", e.Fleet)
 }
 
@@ -110,7 +110,7 @@
 }
 
 // Receive takes in the envelope of a message from a peer. A message whose
-// envelope is refused must not be acted upon. The error is a FleetMismatchError,
+// envelope is refused must not be acted upon. The error is a NameMismatchError,
 // a ProtocolMismatchError or ErrTooLarge.
 func (f *Fleet) Receive(env *pb.Envelope) error {
 	if err := f.check(env); err != nil {
@@ -141,7 +141,7 @@
 func (f *Fleet) check(env *pb.Envelope) error {
 	switch {
 	case env.GetFleet() != f.opts.Settings.GetFleet():
-		return &FleetMismatchError{Fleet: env.GetFleet()}
+		return &NameMismatchError{Fleet: env.GetFleet()}
 	case env.GetProtocol() != Protocol:
 		return &ProtocolMismatchError{Protocol: env.GetProtocol()}
 	case len(env.GetChanges()) > membership.DefaultParams().MaxMembers+1:
--- a/node/fleet/membership_test.go
+++ b/node/fleet/membership_test.go
@@ -84,7 +84,7 @@
 	f := New(Options{Settings: &pb.Settings{Node: "0", Fleet: "test"}})
 	env := f.Envelope()
 	env.Fleet = "other"
-	var fleetErr *FleetMismatchError
+	var fleetErr *NameMismatchError
 	if err := f.Receive(env); !errors.As(err, &fleetErr) {
 		t.Fatal(err)
 	}
--- a/node/peer/fuzz_test.go
+++ b/node/peer/fuzz_test.go
@@ -61,7 +61,7 @@
 
 func (n *loneNode) Receive(e *pb.Envelope) error {
 	if e.GetFleet() != "test" {
-		return &fleet.FleetMismatchError{Fleet: e.GetFleet()}
+		return &fleet.NameMismatchError{Fleet: e.GetFleet()}
 	}
 	return nil
 }
--- a/node/statusclient/peers_test.go
+++ b/node/statusclient/peers_test.go
@@ -36,7 +36,7 @@
 
 func (oneNode) Receive(env *pb.Envelope) error {
 	if env.GetFleet() != "f" || env.GetProtocol() != fleet.Protocol {
-		return &fleet.FleetMismatchError{Fleet: env.GetFleet()}
+		return &fleet.NameMismatchError{Fleet: env.GetFleet()}
 	}
 	return nil
 }
