--- a/node/backend/batch.go
+++ b/node/backend/batch.go
@@ -14,7 +14,7 @@
 type Item struct {
 	// Ctx ends the item alone; its siblings go on.
 	Ctx context.Context
-	// Call names no Replica, Gate or Settled: these are the batch's.
+	// Call names no Replica, Gate or OnRelease: these are the batch's.
 	Call Call
 	// Done is called once with the item's outcome, as soon as it is known, also
 	// from another goroutine. It must not block: it would hold back the siblings.
@@ -27,9 +27,9 @@
 	Replica *config.Replica
 	// Items are reads; a non-idempotent request never goes into a batch.
 	Items []Item
-	// Gate and Settled are those of a Call, for the batch as a whole.
-	Gate    func() bool
-	Settled func()
+	// Gate and OnRelease are those of a Call, for the batch as a whole.
+	Gate      func() bool
+	OnRelease func()
 }
 
 // itemState is how far an item is.
@@ -72,7 +72,7 @@
 // outcome and the connection is given back or given up. Like Do it never sends
 // anything twice. The reply tells how the exchange as a whole went.
 func (c *Client) DoBatch(b Batch) Reply {
-	settled := b.Settled
+	settled := b.OnRelease
 	if settled == nil {
 		settled = func() {}
 	}
--- a/node/backend/batch_test.go
+++ b/node/backend/batch_test.go
@@ -60,7 +60,7 @@
 func (r *batchRig) send(names []string, own map[string]context.Context) backend.Reply {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	b := backend.Batch{Replica: r.replica, Settled: func() { r.settled.Add(1) }}
+	b := backend.Batch{Replica: r.replica, OnRelease: func() { r.settled.Add(1) }}
 	for _, name := range names {
 		item := backend.Item{Ctx: ctx, Call: r.call(name), Done: func(reply backend.Reply) {
 			r.mu.Lock()
--- a/node/backend/batchended_test.go
+++ b/node/backend/batchended_test.go
@@ -31,7 +31,7 @@
 			}
 			whole := r.client.DoBatch(b)
 			r.Check(whole.OK(), qt.IsTrue, qt.Commentf("%v", whole.Reason))
-			r.Check(r.client.Stats().Finished, qt.Equals, uint64(0))
+			r.Check(r.client.Stats().CancelledFinished, qt.Equals, uint64(0))
 		})
 	})
 }
--- a/node/backend/bench_test.go
+++ b/node/backend/bench_test.go
@@ -77,7 +77,7 @@
 					ServiceTime: standin.ServiceTime{Base: cancelAfter, Spread: remaining},
 					Rng:         rand.New(rand.NewPCG(1, 2)),
 				}
-				client, r := benchRig(b, pb.Protocol_PROTOCOL_HTTP1, so, backend.Options{FinishBound: bound}, 1)
+				client, r := benchRig(b, pb.Protocol_PROTOCOL_HTTP1, so, backend.Options{CancelGrace: bound}, 1)
 				var next time.Duration
 				var occupied atomic.Int64
 				losers := 0
@@ -87,7 +87,7 @@
 					settled := make(chan struct{})
 					call := benchCall(r, "loser")
 					cancelled := time.Now().Add(cancelAfter)
-					call.Settled = func() {
+					call.OnRelease = func() {
 						occupied.Add(int64(max(0, time.Since(cancelled))))
 						close(settled)
 					}
--- a/node/backend/call.go
+++ b/node/backend/call.go
@@ -26,12 +26,12 @@
 	// Gate, if set, is asked when a connection is there, right before anything is
 	// written; on false the attempt ends as not run.
 	Gate func() bool
-	// Settled, if set, is called once when the request no longer occupies the
+	// OnRelease, if set, is called once when the request no longer occupies the
 	// replica: its reply was read, it was never sent, or the backend server has
 	// noticed that its connection or stream was closed. For a cancelled call this
 	// is later than Do's return, so limits on requests in flight are released
 	// here and not when Do returns.
-	Settled func()
+	OnRelease func()
 
 	// batch is set on the call that carries one.
 	batch *batch
@@ -56,8 +56,8 @@
 	// others to the replica work. It says nothing about the replica, and is no
 	// sign of a cold start.
 	Silent bool
-	// Unserved is set when the backend server does not know the batch call.
-	Unserved bool
+	// BatchUnsupported is set when the backend server does not know the batch call.
+	BatchUnsupported bool
 	// Queued is the time spent waiting for a connection, Took the time from
 	// then until the reply was read.
 	Queued, Took time.Duration
--- a/node/backend/client.go
+++ b/node/backend/client.go
@@ -31,11 +31,11 @@
 type Stats struct {
 	// Dialled connections and failed dials.
 	Dialled, DialErrors uint64
-	// Condemned connections went silent while others worked.
-	Condemned uint64
-	// Closed connections were given up because a cancelled exchange did not
-	// finish in time; Finished ones were kept.
-	Closed, Finished uint64
+	// SilentClosed connections went silent while others worked.
+	SilentClosed uint64
+	// CancelledClosed connections were given up because a cancelled exchange did not
+	// finish in time; connections of CancelledFinished ones were kept.
+	CancelledClosed, CancelledFinished uint64
 	// Mismatched replies belonged to another attempt, snapshot or shard, or were
 	// missing in a batch.
 	Mismatched uint64
@@ -96,7 +96,7 @@
 	if !ok {
 		return inner, nil
 	}
-	slot.wire = newWire(inner, c.opts.HoldClosed, slot.lost, &c.stats)
+	slot.wire = newWire(inner, c.opts.CloseTimeout, slot.lost, &c.stats)
 	return slot.wire, nil
 }
 
@@ -149,16 +149,16 @@
 // Stats returns the counts so far.
 func (c *Client) Stats() Stats {
 	return Stats{
-		Dialled:    c.stats.dialled.Load(),
-		DialErrors: c.stats.dialErrors.Load(),
-		Condemned:  c.stats.condemned.Load(),
-		Closed:     c.stats.closed.Load(),
-		Finished:   c.stats.finished.Load(),
-		Mismatched: c.stats.mismatched.Load(),
-		BytesIn:    c.stats.bytesIn.Load(),
-		BytesOut:   c.stats.bytesOut.Load(),
-		Batches:    c.stats.batches.Load(),
-		BatchItems: c.stats.batchItems.Load(),
+		Dialled:           c.stats.dialled.Load(),
+		DialErrors:        c.stats.dialErrors.Load(),
+		SilentClosed:      c.stats.condemned.Load(),
+		CancelledClosed:   c.stats.closed.Load(),
+		CancelledFinished: c.stats.finished.Load(),
+		Mismatched:        c.stats.mismatched.Load(),
+		BytesIn:           c.stats.bytesIn.Load(),
+		BytesOut:          c.stats.bytesOut.Load(),
+		Batches:           c.stats.batches.Load(),
+		BatchItems:        c.stats.batchItems.Load(),
 	}
 }
 
@@ -168,9 +168,9 @@
 	for name, value := range map[string]uint64{
 		"backend_dials":                 s.Dialled,
 		"backend_dial_errors":           s.DialErrors,
-		"backend_connections_condemned": s.Condemned,
-		"backend_losers_closed":         s.Closed,
-		"backend_losers_finished":       s.Finished,
+		"backend_connections_condemned": s.SilentClosed,
+		"backend_losers_closed":         s.CancelledClosed,
+		"backend_losers_finished":       s.CancelledFinished,
 		"backend_replies_mismatched":    s.Mismatched,
 		"backend_bytes_in":              s.BytesIn,
 		"backend_bytes_out":             s.BytesOut,
@@ -219,7 +219,7 @@
 	if call.Execute {
 		path = pathExecute
 	}
-	settled := call.Settled
+	settled := call.OnRelease
 	if settled == nil {
 		settled = func() {}
 	}
--- a/node/backend/client_test.go
+++ b/node/backend/client_test.go
@@ -157,12 +157,12 @@
 	// has its answer at once, the late reply is read and dropped, and the
 	// connection is used again, because a new one costs milliseconds. The request
 	// counts as settled only when the replica is done with it.
-	r := newRig(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{}, backend.Options{FinishBound: patience}, 1)
+	r := newRig(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{}, backend.Options{CancelGrace: patience}, 1)
 	r.server.Hold()
 	ctx, cancel := context.WithCancel(context.Background())
 	settled := make(chan struct{})
 	call := r.call("loser")
-	call.Settled = func() { close(settled) }
+	call.OnRelease = func() { close(settled) }
 	done := make(chan backend.Reply, 1)
 	go func() { done <- r.client.Do(ctx, call) }()
 	r.eventually("the request runs", func() bool { return r.server.Counts().Queries == 1 })
--- a/node/backend/exchange.go
+++ b/node/backend/exchange.go
@@ -53,7 +53,7 @@
 // first. stale is set when the connection had been closed before anything was
 // written; settled has not been called then.
 func (ex *exchange) run(ctx context.Context, settled func()) (reply Reply, stale bool) {
-	// The exchange outlives ctx by up to FinishBound, so that a cancelled
+	// The exchange outlives ctx by up to CancelGrace, so that a cancelled
 	// attempt whose reply is on its way does not cost its connection.
 	inner, cancel := context.WithCancel(context.Background())
 	ex.cancel = cancel
@@ -109,7 +109,7 @@
 		settled()
 		return
 	}
-	wait := ex.pool.client.opts.HoldClosed
+	wait := ex.pool.client.opts.CloseTimeout
 	if !ex.deadline.IsZero() {
 		wait = min(wait, max(0, time.Until(ex.deadline))+lateServer)
 	}
@@ -131,7 +131,7 @@
 }
 
 // abandon ends the wait for a reply because ctx has ended. A stream is reset at
-// once; an HTTP/1.1 connection is given FinishBound before it is closed.
+// once; an HTTP/1.1 connection is given CancelGrace before it is closed.
 func (ex *exchange) abandon(ctx context.Context, settled func()) Reply {
 	reply := Reply{
 		Reason:        contextReason(ctx),
@@ -139,7 +139,7 @@
 		Took:          time.Since(ex.sent),
 		NewConnection: ex.first,
 	}
-	bound := ex.pool.client.opts.FinishBound
+	bound := ex.pool.client.opts.CancelGrace
 	if ex.pool.h2 || reply.Evidence == pb.Evidence_EVIDENCE_NOT_RUN {
 		bound = 0
 	}
@@ -203,7 +203,7 @@
 		return statusReply(reply, resp.StatusCode), true
 	}
 	parseAnswer(resp).judge(&reply, ex.call)
-	reply.Unserved = ex.call.batch != nil && unserved(resp.StatusCode)
+	reply.BatchUnsupported = ex.call.batch != nil && unserved(resp.StatusCode)
 	if reply.Reason == pb.Reason_REASON_MISMATCH {
 		ex.pool.client.stats.mismatched.Add(1)
 		// Under HTTP/1.1 the connection's requests and replies are out of step.
--- a/node/backend/faults_test.go
+++ b/node/backend/faults_test.go
@@ -46,8 +46,8 @@
 	// noticed the close took it to 10 and beyond.
 	r := newRig(t, pb.Protocol_PROTOCOL_HTTP1,
 		standin.Options{Slots: 4, Queue: -1, Connections: 10, ServiceTime: standin.ServiceTime{Base: time.Millisecond}},
-		backend.Options{FinishBound: -1}, 3)
-	second := backend.New(backend.Options{FinishBound: -1})
+		backend.Options{CancelGrace: -1}, 3)
+	second := backend.New(backend.Options{CancelGrace: -1})
 	second.SetConnections("r0", 3)
 	t.Cleanup(second.Close)
 	var wg sync.WaitGroup
@@ -94,7 +94,7 @@
 	// replica. Without the probes each of the four would cost a query.
 	eachProtocol(t, func(t *testing.T, protocol pb.Protocol) {
 		const share = 4
-		opts := backend.Options{SilenceAfter: 50 * time.Millisecond, ProbeTimeout: 100 * time.Millisecond}
+		opts := backend.Options{SilenceTimeout: 50 * time.Millisecond, ProbeTimeout: 100 * time.Millisecond}
 		r := newRig(t, protocol, standin.Options{Slots: share, Queue: -1}, opts, share)
 		r.openAll(share)
 		opened := r.client.Stats().Dialled
@@ -109,7 +109,7 @@
 			r.Assert(r.do(r.call(fmt.Sprint("after", i))).OK(), qt.IsTrue)
 		}
 		// One of them may have made way for the fresh connection.
-		r.eventually("the silent ones are closed", func() bool { return r.client.Stats().Condemned >= opened-1 })
+		r.eventually("the silent ones are closed", func() bool { return r.client.Stats().SilentClosed >= opened-1 })
 	})
 }
 
@@ -127,7 +127,7 @@
 func TestASlowReplicaIsNotTakenForASilentConnection(t *testing.T) {
 	// The replica stalls: nothing answers, new connections included. Closing its
 	// connections would add a storm of new ones to its trouble.
-	opts := backend.Options{SilenceAfter: 10 * time.Millisecond, ProbeTimeout: 20 * time.Millisecond}
+	opts := backend.Options{SilenceTimeout: 10 * time.Millisecond, ProbeTimeout: 20 * time.Millisecond}
 	r := newRig(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{Slots: 2}, opts, 3)
 	r.openAll(2)
 	r.server.Stall(true)
@@ -137,7 +137,7 @@
 	time.Sleep(5 * opts.ProbeTimeout)
 	r.server.Stall(false)
 	r.Assert((<-done).OK(), qt.IsTrue)
-	r.Assert(r.client.Stats().Condemned, qt.Equals, uint64(0))
+	r.Assert(r.client.Stats().SilentClosed, qt.Equals, uint64(0))
 }
 
 func TestSettledMeansThatAColdServerBearsTheNext(t *testing.T) {
@@ -152,12 +152,12 @@
 			Cold:        standin.Cold{InFlight: 1, Requests: 1000},
 			ServiceTime: standin.ServiceTime{Base: 20 * time.Millisecond},
 		}
-		r := newRig(t, protocol, so, backend.Options{FinishBound: -1}, 3)
+		r := newRig(t, protocol, so, backend.Options{CancelGrace: -1}, 3)
 		for i := range 50 {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 			settled := make(chan struct{})
 			call := r.call(fmt.Sprint("a", i))
-			call.Settled = func() { close(settled) }
+			call.OnRelease = func() { close(settled) }
 			r.client.Do(ctx, call)
 			cancel()
 			<-settled
@@ -174,7 +174,7 @@
 	// reserve of one may be opened, by a probe for silent connections or by one
 	// more fee, however often fees are given up; the others are refused unsent.
 	const share, reserve = 3, 1
-	r := newRig(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{Slots: 2 * share}, backend.Options{FinishBound: -1}, share)
+	r := newRig(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{Slots: 2 * share}, backend.Options{CancelGrace: -1}, share)
 	r.server.Hold()
 	ctx, giveUp := context.WithCancel(context.Background())
 	first := r.fees(ctx, "first", share)
--- a/node/backend/forward.go
+++ b/node/backend/forward.go
@@ -16,9 +16,9 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
-// Forward is a caller's request on its way to one replica, byte for byte. It is used
+// ForwardRequest is a caller's request on its way to one replica, byte for byte. It is used
 // once.
-type Forward struct {
+type ForwardRequest struct {
 	// Replica that it goes to; its name is the replica's ID.
 	Replica *config.Replica
 	// RequestID of the caller's request, which the reply has to repeat.
@@ -47,10 +47,10 @@
 // ForwardReply is what came of a Forward.
 type ForwardReply struct {
 	// Status is 0 when there was no complete reply.
-	Status int
-	Header http.Header
-	Body   []byte
-	Notes  ReplyNotes
+	Status   int
+	Header   http.Header
+	Body     []byte
+	Metadata ReplyMetadata
 	// Evidence states whether the request can have run.
 	Evidence pb.Evidence
 	Reason   pb.Reason
@@ -58,8 +58,8 @@
 	Took time.Duration
 }
 
-// ReplyNotes is what a reply says beside its status and body.
-type ReplyNotes struct {
+// ReplyMetadata is what a reply says beside its status and body.
+type ReplyMetadata struct {
 	// RequestID that the reply answers; empty when it does not say.
 	RequestID string
 	// NotRun is the replica's word that it did not run the request.
@@ -72,11 +72,11 @@
 
 // Dialect is the way in which backend servers speak beside plain HTTP.
 type Dialect interface {
-	// Address adds to a request's header for which replica it is meant and how long
+	// SetHeaders adds to a request's header for which replica it is meant and how long
 	// its caller will wait.
-	Address(h http.Header, replicaID string, left time.Duration)
-	// Notes reads what a reply says beside its status and body.
-	Notes(resp *http.Response) ReplyNotes
+	SetHeaders(h http.Header, replicaID string, left time.Duration)
+	// Metadata reads what a reply says beside its status and body.
+	Metadata(resp *http.Response) ReplyMetadata
 }
 
 // authorityPrefix begins a target whose first segment could be taken for an authority
@@ -86,7 +86,7 @@
 // Forward sends a request to a replica on one connection and returns its reply. It
 // never sends it twice: it takes another connection only after proof that nothing was
 // written on the one before.
-func (c *Client) Forward(f *Forward, dialect Dialect) ForwardReply {
+func (c *Client) Forward(f *ForwardRequest, dialect Dialect) ForwardReply {
 	p := c.pool(f.Replica)
 	for range attemptsOnStale {
 		cn, reason := p.acquireFor(f)
@@ -101,10 +101,10 @@
 	return ForwardReply{Reason: pb.Reason_REASON_CONNECTION, Evidence: pb.Evidence_EVIDENCE_NOT_RUN}
 }
 
-// End tells that nobody waits for the reply any more. A wait for a connection ends at
+// Cancel tells that nobody waits for the reply any more. A wait for a connection ends at
 // once; an exchange may go on for linger, so that its connection can be kept, and is
 // cut after that.
-func (f *Forward) End(linger time.Duration) {
+func (f *ForwardRequest) Cancel(linger time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.done {
@@ -123,7 +123,7 @@
 }
 
 // cut ends the exchange that is still under way.
-func (f *Forward) cut() {
+func (f *ForwardRequest) cut() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.wire != nil {
@@ -132,7 +132,7 @@
 }
 
 // begin takes the connection for the exchange, unless nobody waits any more.
-func (f *Forward) begin(w *wire) bool {
+func (f *ForwardRequest) begin(w *wire) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.ended {
@@ -143,7 +143,7 @@
 }
 
 // finish gives the connection back, and reports whether anybody waits for the reply.
-func (f *Forward) finish(done bool) (awaited bool) {
+func (f *ForwardRequest) finish(done bool) (awaited bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.wire = nil
@@ -152,7 +152,7 @@
 }
 
 // waitContext returns the context of a wait for a connection.
-func (f *Forward) waitContext() (context.Context, context.CancelFunc) {
+func (f *ForwardRequest) waitContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithDeadline(context.Background(), f.Deadline)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -169,7 +169,7 @@
 }
 
 // acquireFor returns a connection, or nil and the reason why there is none.
-func (p *pool) acquireFor(f *Forward) (*conn, pb.Reason) {
+func (p *pool) acquireFor(f *ForwardRequest) (*conn, pb.Reason) {
 	p.mu.Lock()
 	if p.limit > 0 && len(p.waiters) == 0 {
 		if cn := p.takeLocked(); cn != nil {
@@ -200,7 +200,7 @@
 
 // forward carries one exchange on a connection. stale is set when the connection had
 // been closed before anything was written.
-func (p *pool) forward(cn *conn, f *Forward, dialect Dialect) (reply ForwardReply, stale bool) {
+func (p *pool) forward(cn *conn, f *ForwardRequest, dialect Dialect) (reply ForwardReply, stale bool) {
 	if !f.begin(cn.wire) {
 		p.release(cn, true)
 		return ForwardReply{Reason: pb.Reason_REASON_CANCELLED, Evidence: pb.Evidence_EVIDENCE_NOT_RUN}, false
@@ -211,7 +211,7 @@
 	if err != nil {
 		return p.forwardFailed(cn, f, writes, sent)
 	}
-	reply = ForwardReply{Status: resp.StatusCode, Header: resp.Header, Notes: dialect.Notes(resp)}
+	reply = ForwardReply{Status: resp.StatusCode, Header: resp.Header, Metadata: dialect.Metadata(resp)}
 	limit := p.client.opts.MaxResultBytes
 	reply.Body, err = readBody(resp, limit+1)
 	_ = resp.Body.Close()
@@ -219,7 +219,7 @@
 	reply.Took = time.Since(sent)
 	// A late second answer to an earlier request would be taken for this one's, a
 	// refusal among them for a true "not run"; so one without an ID fits nothing.
-	misfit := reply.Notes.RequestID != f.RequestID
+	misfit := reply.Metadata.RequestID != f.RequestID
 	switch {
 	case err != nil || int64(len(reply.Body)) > limit:
 		p.release(cn, false)
@@ -238,7 +238,7 @@
 	p.observe(reply.Took)
 	p.learnIdleTimeout(cn, resp.Header)
 	p.release(cn, !resp.Close)
-	if reply.Notes.NotRun || reply.Notes.OtherReplica {
+	if reply.Metadata.NotRun || reply.Metadata.OtherReplica {
 		reply.Evidence = pb.Evidence_EVIDENCE_NOT_RUN
 	} else {
 		reply.Evidence = pb.Evidence_EVIDENCE_RAN
@@ -251,7 +251,7 @@
 }
 
 // forwardFailed judges an exchange without a reply and closes its connection.
-func (p *pool) forwardFailed(cn *conn, f *Forward, writes uint64, sent time.Time) (ForwardReply, bool) {
+func (p *pool) forwardFailed(cn *conn, f *ForwardRequest, writes uint64, sent time.Time) (ForwardReply, bool) {
 	awaited := f.finish(false)
 	reply := failedForward(pb.Reason_REASON_CONNECTION, time.Since(sent))
 	if cn.wire.seal(writes) {
@@ -312,7 +312,7 @@
 
 // request builds one attempt. The target is passed on as it came: parsing and
 // printing it again could change its escapes.
-func (f *Forward) request(address string, dialect Dialect) *http.Request {
+func (f *ForwardRequest) request(address string, dialect Dialect) *http.Request {
 	req := new(http.Request)
 	req.Method = f.Method
 	req.URL = &url.URL{Scheme: "http", Host: address, Opaque: f.Target}
@@ -325,7 +325,7 @@
 	req.Host = f.Host
 	req.Proto, req.ProtoMajor, req.ProtoMinor = "HTTP/1.1", 1, 1
 	req.Header = maps.Clone(f.Header)
-	dialect.Address(req.Header, f.Replica.Name, max(0, time.Until(f.Deadline)))
+	dialect.SetHeaders(req.Header, f.Replica.Name, max(0, time.Until(f.Deadline)))
 	// GetBody stays unset: nothing may replay the request.
 	if len(f.Body) > 0 {
 		req.Body = io.NopCloser(bytes.NewReader(f.Body))
--- a/node/backend/fuzz_test.go
+++ b/node/backend/fuzz_test.go
@@ -80,7 +80,7 @@
 	client, r := fuzzRig(reply)
 	var settled atomic.Int64
 	call := benchCall(r, fuzzAttempt)
-	call.Settled = func() { settled.Add(1) }
+	call.OnRelease = func() { settled.Add(1) }
 	call.Execute = execute
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
@@ -139,7 +139,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
 	var settled, done atomic.Int64
-	batch := backend.Batch{Replica: r, Settled: func() { settled.Add(1) }}
+	batch := backend.Batch{Replica: r, OnRelease: func() { settled.Add(1) }}
 	for _, attempt := range []string{fuzzAttempt, fuzzAttempt + "-2"} {
 		batch.Items = append(batch.Items, backend.Item{Ctx: ctx, Call: benchCall(r, attempt), Done: func(got backend.Reply) {
 			done.Add(1)
--- a/node/backend/options.go
+++ b/node/backend/options.go
@@ -32,24 +32,24 @@
 	MaxResultBytes int64
 	// IdleTimeout closes connections that carried nothing for so long.
 	IdleTimeout time.Duration
-	// FinishBound is how long a cancelled HTTP/1.1 exchange may go on so that
+	// CancelGrace is how long a cancelled HTTP/1.1 exchange may go on so that
 	// its connection can be kept; negative closes it at once. The default is
 	// what a new connection costs at the slowest services.
-	FinishBound time.Duration
-	// SilenceAfter is the least time without a byte after which an attempt's
+	CancelGrace time.Duration
+	// SilenceTimeout is the least time without a byte after which an attempt's
 	// connection is examined. Four times the slowest recent reply of the
 	// replica raises it.
-	SilenceAfter time.Duration
+	SilenceTimeout time.Duration
 	// ProbeTimeout bounds a status request on a connection under examination.
 	ProbeTimeout time.Duration
-	// HoldClosed is how long a closed connection may count against the share
+	// CloseTimeout is how long a closed connection may count against the share
 	// while the backend server has not closed its end.
-	HoldClosed time.Duration
+	CloseTimeout time.Duration
 	// Event reports condemned connections to the decision ring; may be nil.
 	Event func(kind, subject, detail string)
-	// Lost is called when a backend server closes a connection, idle or in use:
+	// OnDisconnect is called when a backend server closes a connection, idle or in use:
 	// it may have restarted. May be nil.
-	Lost func(replica string)
+	OnDisconnect func(replica string)
 }
 
 func (o Options) withDefaults() Options {
@@ -64,15 +64,15 @@
 	}
 	setDefault(&o.DialTimeout, defaultDialTimeout)
 	setDefault(&o.IdleTimeout, defaultIdleTimeout)
-	setDefault(&o.FinishBound, defaultFinishBound)
-	setDefault(&o.SilenceAfter, defaultSilenceAfter)
+	setDefault(&o.CancelGrace, defaultFinishBound)
+	setDefault(&o.SilenceTimeout, defaultSilenceAfter)
 	setDefault(&o.ProbeTimeout, defaultProbeTimeout)
-	setDefault(&o.HoldClosed, defaultHoldClosed)
+	setDefault(&o.CloseTimeout, defaultHoldClosed)
 	if o.MaxResultBytes == 0 {
 		o.MaxResultBytes = defaultMaxResultBytes
 	}
-	if o.Lost == nil {
-		o.Lost = func(string) {}
+	if o.OnDisconnect == nil {
+		o.OnDisconnect = func(string) {}
 	}
 	if o.Event == nil {
 		o.Event = func(string, string, string) {}
--- a/node/backend/pool.go
+++ b/node/backend/pool.go
@@ -255,7 +255,7 @@
 	if p.h2 {
 		transport = p.client.h2c
 	}
-	slot := &wireSlot{lost: func() { p.client.opts.Lost(p.name) }}
+	slot := &wireSlot{lost: func() { p.client.opts.OnDisconnect(p.name) }}
 	cc, err := transport.NewClientConn(context.WithValue(ctx, wireKey{}, slot), "http", p.address)
 	if err != nil {
 		p.client.stats.dialErrors.Add(1)
--- a/node/backend/silence.go
+++ b/node/backend/silence.go
@@ -22,7 +22,7 @@
 func (p *pool) silenceAfter() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(p.client.opts.SilenceAfter, silenceFactor*p.slowest)
+	return max(p.client.opts.SilenceTimeout, silenceFactor*p.slowest)
 }
 
 // examine finds out whether a connection without a byte since the given time has gone
@@ -164,7 +164,7 @@
 }
 
 // condemn closes a silent connection. Its place in the share stays taken for
-// HoldClosed, since the backend server does not notice the close.
+// CloseTimeout, since the backend server does not notice the close.
 func (p *pool) condemn(cn *conn) {
 	p.client.stats.condemned.Add(1)
 	p.client.opts.Event("connection condemned", p.name, "silent while a newer connection works")
--- a/node/forward/answer.go
+++ b/node/forward/answer.go
@@ -54,7 +54,7 @@
 			a.Missing++
 			continue
 		}
-		a.Signatures = append(a.Signatures, q.parts[i].Notes.Signature)
+		a.Signatures = append(a.Signatures, q.parts[i].Metadata.Signature)
 		bodies = append(bodies, q.parts[i].Body)
 	}
 	bodies = append(bodies, q.groups...)
--- a/node/forward/attempt.go
+++ b/node/forward/attempt.go
@@ -169,8 +169,8 @@
 }
 
 // newCall returns an attempt of a request at a replica.
-func newCall(req *Request, to *registry.Replica, deadline time.Time) *backend.Forward {
-	return &backend.Forward{
+func newCall(req *Request, to *registry.Replica, deadline time.Time) *backend.ForwardRequest {
+	return &backend.ForwardRequest{
 		Replica:   &config.Replica{Name: to.ID, Address: to.Address},
 		RequestID: req.ID,
 		Method:    req.Method,
@@ -198,9 +198,9 @@
 // resultOf classifies a reply for the choice of replicas.
 func resultOf(reply *backend.ForwardReply) upstream.Result {
 	switch {
-	case reply.Notes.OtherReplica:
+	case reply.Metadata.OtherReplica:
 		return upstream.WrongReplica
-	case reply.Notes.NotRun:
+	case reply.Metadata.NotRun:
 		return upstream.Refused
 	case good(reply):
 		return upstream.Answered
@@ -223,14 +223,14 @@
 // good reports whether a reply is a complete and genuine success.
 func good(reply *backend.ForwardReply) bool {
 	return reply.Status >= http.StatusOK && reply.Status < http.StatusMultipleChoices &&
-		reply.Notes.Signature != "" && reply.Header.Get("Content-Encoding") == "" && !reply.Notes.NotRun
+		reply.Metadata.Signature != "" && reply.Header.Get("Content-Encoding") == "" && !reply.Metadata.NotRun
 }
 
 // passable reports whether a reply that is no success may be passed on as the replica's
 // own failure. A success without a signature is neither: its caller would take it for
 // one, and nobody knows whose answer it is.
 func passable(reply *backend.ForwardReply) bool {
-	return reply.Status >= http.StatusMultipleChoices && !reply.Notes.NotRun && !reply.Notes.OtherReplica
+	return reply.Status >= http.StatusMultipleChoices && !reply.Metadata.NotRun && !reply.Metadata.OtherReplica
 }
 
 // take deals with the ends of attempts that came together.
@@ -261,7 +261,7 @@
 	if passable(e.reply) {
 		q.last = e.reply
 	}
-	reached := e.reply.Status != 0 && !e.reply.Notes.OtherReplica || e.reply.Evidence != pb.Evidence_EVIDENCE_NOT_RUN
+	reached := e.reply.Status != 0 && !e.reply.Metadata.OtherReplica || e.reply.Evidence != pb.Evidence_EVIDENCE_NOT_RUN
 	if !reached && q.attempts(e.shard) > maxElsewhere {
 		reached = true
 	}
@@ -286,7 +286,7 @@
 	if good(reply) {
 		return true
 	}
-	if q.route.Gathers() || reply.Notes.NotRun || reply.Notes.OtherReplica {
+	if q.route.Gathers() || reply.Metadata.NotRun || reply.Metadata.OtherReplica {
 		return false
 	}
 	return reply.Status >= http.StatusMultipleChoices && reply.Status < http.StatusInternalServerError &&
@@ -297,7 +297,7 @@
 func (q *run) endOthers(shard int) {
 	for i := range q.story {
 		if s := &q.story[i]; s.shard == shard && !s.ended {
-			s.call.End(lingerFor)
+			s.call.Cancel(lingerFor)
 		}
 	}
 }
--- a/node/forward/batch.go
+++ b/node/forward/batch.go
@@ -46,7 +46,7 @@
 }
 
 // cancellable ends an attempt. Replies may still come for linger.
-type cancellable interface{ End(linger time.Duration) }
+type cancellable interface{ Cancel(linger time.Duration) }
 
 // batchCall is the attempts of a batch under way.
 type batchCall struct {
@@ -63,8 +63,8 @@
 	once sync.Once
 }
 
-// End implements cancellable. The batch goes on while any of its attempts is wanted.
-func (a *batchAttempt) End(linger time.Duration) {
+// Cancel implements cancellable. The batch goes on while any of its attempts is wanted.
+func (a *batchAttempt) Cancel(linger time.Duration) {
 	a.once.Do(func() {
 		a.call.mu.Lock()
 		a.call.wanted--
@@ -138,7 +138,7 @@
 	for k := range r.Replies {
 		reply := &r.Replies[k].Reply
 		at := &attempts[r.Replies[k].Replica]
-		at.call.End(lingerFor)
+		at.call.Cancel(lingerFor)
 		q.settle(q.services[at.shard], at.state, at.handle, reply)
 		q.f.reach.note(at.replica, reply)
 		if reply.Took > 0 {
--- a/node/forward/rig_test.go
+++ b/node/forward/rig_test.go
@@ -36,13 +36,13 @@
 // dialect is that of the stand-in replicas.
 type dialect struct{}
 
-func (dialect) Address(h http.Header, replicaID string, left time.Duration) {
+func (dialect) SetHeaders(h http.Header, replicaID string, left time.Duration) {
 	h["Replica"] = []string{replicaID}
 	h["Timeout"] = []string{strconv.FormatInt(left.Milliseconds(), 10)}
 }
 
-func (dialect) Notes(resp *http.Response) backend.ReplyNotes {
-	return backend.ReplyNotes{
+func (dialect) Metadata(resp *http.Response) backend.ReplyMetadata {
+	return backend.ReplyMetadata{
 		RequestID: resp.Header.Get(headerID),
 		Signature: resp.Header.Get(headerSignature),
 		NotRun:    resp.Header.Get(headerNotRun) != "",
@@ -206,7 +206,7 @@
 		r.view.Index = route.NewIndex(&route.Configuration{Version: 1, Routes: []route.Route{r.route}})
 	}
 	client := backend.New(backend.Options{
-		Dial: r.network.Dialer(dc), DialTimeout: 500 * time.Millisecond, HoldClosed: time.Second,
+		Dial: r.network.Dialer(dc), DialTimeout: 500 * time.Millisecond, CloseTimeout: time.Second,
 	})
 	f := forwarder(r.view, client, dc, neighbours)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/node/forward/run.go
+++ b/node/forward/run.go
@@ -177,7 +177,7 @@
 	}
 	for i := range q.story {
 		if !q.story[i].ended {
-			q.story[i].call.End(linger)
+			q.story[i].call.Cancel(linger)
 		}
 	}
 }
--- a/node/forward/servebatch.go
+++ b/node/forward/servebatch.go
@@ -27,7 +27,7 @@
 	calls := f.sendBatch(b, inbox)
 	defer func() {
 		for _, call := range calls {
-			call.End(lingerFor)
+			call.Cancel(lingerFor)
 		}
 	}()
 	var waiting []PartReply
@@ -57,12 +57,12 @@
 }
 
 // sendBatch sends the attempts of a batch and returns those that were sent.
-func (f *Forwarder) sendBatch(b *Batch, inbox *work.Inbox[PartReply]) []*backend.Forward {
+func (f *Forwarder) sendBatch(b *Batch, inbox *work.Inbox[PartReply]) []*backend.ForwardRequest {
 	var known map[string]*registry.Replica
 	if replicas := f.replicas.Load(); replicas != nil {
 		known = *replicas
 	}
-	calls := make([]*backend.Forward, 0, len(b.Replicas))
+	calls := make([]*backend.ForwardRequest, 0, len(b.Replicas))
 	for i, id := range b.Replicas {
 		replica := known[id]
 		if replica == nil {
--- a/node/forward/story.go
+++ b/node/forward/story.go
@@ -40,11 +40,11 @@
 	s.ended = true
 	s.endedAt = at
 	s.status = reply.Status
-	s.refused = reply.Notes.NotRun && !reply.Notes.OtherReplica
+	s.refused = reply.Metadata.NotRun && !reply.Metadata.OtherReplica
 	switch {
-	case reply.Notes.OtherReplica:
+	case reply.Metadata.OtherReplica:
 		s.why = "other replica"
-	case reply.Notes.NotRun:
+	case reply.Metadata.NotRun:
 		s.why = "refused"
 	case reply.Status == 0:
 		s.why = reply.Reason.String() + "/" + reply.Evidence.String()
--- a/node/gateway/assemble.go
+++ b/node/gateway/assemble.go
@@ -89,7 +89,7 @@
 func (g *Gateway) buildForwarder(own coordinator.Member, dialect backend.Dialect) {
 	g.backends = backend.New(backend.Options{
 		DialTimeout:    dialTimeout,
-		HoldClosed:     holdClosed,
+		CloseTimeout:   holdClosed,
 		MaxResultBytes: int64(g.settings.GetLimits().GetMaxResultBytes()),
 		Event:          g.event,
 	})
--- a/node/node/node.go
+++ b/node/node/node.go
@@ -101,7 +101,7 @@
 		Dial:           dialer,
 		MaxResultBytes: int64(limits.GetMaxResultBytes()),
 		Event:          n.event,
-		Lost:           func(replica string) { n.owner.Lost(replica) },
+		OnDisconnect:   func(replica string) { n.owner.Lost(replica) },
 	})
 	metrics.AddSource(n.backends.Report)
 	envelopes := &lazyEnvelopes{}
--- a/node/owner/batch.go
+++ b/node/owner/batch.go
@@ -105,12 +105,12 @@
 	}
 	epoch := group[0].epoch
 	reply := r.owner.Backend.DoBatch(backend.Batch{
-		Replica: replica,
-		Items:   items,
-		Gate:    func() bool { return r.current(epoch) },
-		Settled: shared.settled,
+		Replica:   replica,
+		Items:     items,
+		Gate:      func() bool { return r.current(epoch) },
+		OnRelease: shared.settled,
 	})
-	if reply.Unserved {
+	if reply.BatchUnsupported {
 		r.restFromBatches(time.Now())
 	}
 	shared.replied(reply)
--- a/node/owner/batch_test.go
+++ b/node/owner/batch_test.go
@@ -67,7 +67,7 @@
 		r := &batchRig{server: server, backend: &hooked{beforeBatch: func() {}}}
 		r.Owner = New(Options{Backend: r.backend, Pool: work.NewPool(16), Ring: ring.New(8, func(string) {}),
 			Fleet: soleFleet{index: &config.Index{Replicas: map[string]*config.Replica{"r0": replica}}}})
-		r.backend.Client = backend.New(backend.Options{Dial: network.Dialer("node"), Lost: r.Lost})
+		r.backend.Client = backend.New(backend.Options{Dial: network.Dialer("node"), OnDisconnect: r.Lost})
 		defer func() {
 			r.backend.Close()
 			server.Close()
--- a/node/owner/owned.go
+++ b/node/owner/owned.go
@@ -162,7 +162,7 @@
 	}
 	place := &place{replica: r, recent: r.owner.recentOf(t.req.Service), typical: t.req.Typical}
 	call := r.call(t.req)
-	call.Settled = place.settled
+	call.OnRelease = place.settled
 	call.Gate = func() bool { return r.current(t.epoch) }
 	ctx, end := r.patience(t)
 	defer end()
--- a/node/peer/fuzz_test.go
+++ b/node/peer/fuzz_test.go
@@ -93,7 +93,7 @@
 		n.mu.Lock()
 		n.running--
 		n.mu.Unlock()
-		call.Settled()
+		call.OnRelease()
 	}()
 	if call.Class == "hang" {
 		<-ctx.Done()
--- a/node/peer/scatterpath/fakes.go
+++ b/node/peer/scatterpath/fakes.go
@@ -52,7 +52,7 @@
 	if i.delay > 0 {
 		time.Sleep(i.delay/2 + time.Duration(rand.Int64N(int64(i.delay))))
 	}
-	call.Settled()
+	call.OnRelease()
 	return backend.Reply{Evidence: pb.Evidence_EVIDENCE_RAN, Snapshot: 70_000, Generation: 3, Oldest: 69_990,
 		Newest: 70_000, Incarnation: "i", Result: instantResult, Took: 4 * time.Millisecond}
 }
--- a/node/relay/neighbours_test.go
+++ b/node/relay/neighbours_test.go
@@ -63,7 +63,7 @@
 		for i, p := range replies {
 			w.Assert(p.Replica, qt.Equals, i)
 			w.Assert(p.Reply.Status, qt.Equals, 200)
-			w.Assert(p.Reply.Notes.Signature, qt.Equals, []string{"r0", "r1"}[i])
+			w.Assert(p.Reply.Metadata.Signature, qt.Equals, []string{"r0", "r1"}[i])
 		}
 		for _, n := range w.big {
 			for _, b := range n.batches {
--- a/node/relay/wire.go
+++ b/node/relay/wire.go
@@ -187,9 +187,9 @@
 		m.Replies = append(m.Replies, &pb.PartReply{
 			Replica:      uint32(r.Replies[i].Replica),
 			Status:       uint32(reply.Status),
-			Signature:    []byte(reply.Notes.Signature),
-			NotRun:       reply.Notes.NotRun,
-			OtherReplica: reply.Notes.OtherReplica,
+			Signature:    []byte(reply.Metadata.Signature),
+			NotRun:       reply.Metadata.NotRun,
+			OtherReplica: reply.Metadata.OtherReplica,
 			Evidence:     reply.Evidence,
 			Reason:       reply.Reason,
 			TookUs:       microseconds(reply.Took),
@@ -203,7 +203,7 @@
 	for _, p := range m.GetReplies() {
 		r.Replies = append(r.Replies, forward.PartReply{Replica: int(p.GetReplica()), Reply: backend.ForwardReply{
 			Status: int(p.GetStatus()),
-			Notes: backend.ReplyNotes{
+			Metadata: backend.ReplyMetadata{
 				Signature: string(p.GetSignature()), NotRun: p.GetNotRun(), OtherReplica: p.GetOtherReplica(),
 			},
 			Evidence: p.GetEvidence(),
--- a/node/relay/world_test.go
+++ b/node/relay/world_test.go
@@ -112,7 +112,7 @@
 	r := forward.PartReplies{Records: []byte(n.member.Node)}
 	for _, i := range answers {
 		r.Replies = append(r.Replies, forward.PartReply{Replica: i, Reply: backend.ForwardReply{
-			Status: 200, Notes: backend.ReplyNotes{Signature: b.Replicas[i%len(b.Replicas)]}, Evidence: pb.Evidence_EVIDENCE_RAN,
+			Status: 200, Metadata: backend.ReplyMetadata{Signature: b.Replicas[i%len(b.Replicas)]}, Evidence: pb.Evidence_EVIDENCE_RAN,
 		}})
 	}
 	return deliver(r)
