--- a/node/gateway/assemble.go
+++ b/node/gateway/assemble.go
@@ -90,7 +90,7 @@
 func (g *Gateway) buildForwarder(self coordinator.Member, dialect backend.Dialect) {
 	g.backends = backend.New(backend.Options{
 		DialTimeout:    dialTimeout,
-		HoldClosed:     closedConnHold,
+		CloseTimeout:   closedConnHold,
 		MaxResultBytes: int64(g.settings.GetLimits().GetMaxResultBytes()),
 		Event:          g.recordEvent,
 	})
--- a/node/relay/neighbours_test.go
+++ b/node/relay/neighbours_test.go
@@ -65,7 +65,7 @@
 		for i, p := range replies {
 			c.Assert(p.Replica, qt.Equals, i)
 			c.Assert(p.Reply.Status, qt.Equals, 200)
-			c.Assert(p.Reply.Notes.Signature, qt.Equals, []string{"r0", "r1"}[i])
+			c.Assert(p.Reply.Metadata.Signature, qt.Equals, []string{"r0", "r1"}[i])
 		}
 		for _, n := range c.coordinators {
 			for _, b := range n.batches {
