--- a/node/fleet/bench_test.go
+++ b/node/fleet/bench_test.go
@@ -10,15 +10,15 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// largeFleet returns a node that knows count nodes in 8 data centres and a
+// newLargeFleet returns a node with count members in 8 data centres and a
 // configuration of 3,500 replicas in force.
-func largeFleet(count int) *Fleet {
+func newLargeFleet(count int) *Fleet {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	f := New(Options{Settings: &pb.Settings{Node: "vm-000", Fleet: "test", DataCentre: "dc-0"}, Boot: 1, Log: log})
 	env := f.Envelope()
 	for i := 1; i < count; i++ {
-		env.Changes = append(env.Changes, memberOf(i, 1))
+		env.Changes = append(env.Changes, aliveChange(i, 1))
 	}
 	if err := f.Receive(env); err != nil {
 		panic(err)
@@ -43,11 +43,11 @@
 		Name: "search", MaxDeadlineMs: 240,
 		Generations: []*pb.Generation{{Id: 1, Shards: shards}},
 	}}
-	f.offer(c, "the benchmark")
+	f.offerConfiguration(c, "the benchmark")
 	return f
 }
 
-func memberOf(i int, incarnation uint64) *pb.MemberChange {
+func aliveChange(i int, incarnation uint64) *pb.MemberChange {
 	return &pb.MemberChange{
 		Node:        fmt.Sprintf("vm-%03d", i),
 		Boot:        uint64(i + 1),
@@ -58,13 +58,14 @@
 	}
 }
 
-// BenchmarkQueryPath is what one query to 1,700 shards asks of this package, and
-// BenchmarkChange what one member's change costs, at 8 and 750 nodes:
+// BenchmarkQueryPath measures the operations of this package for one query to 1,700
+// shards, at 8 and 750 nodes. BenchmarkChange measures applying the change of one
+// member.
 //
 //	go test ./node/fleet -run - -bench .
 func BenchmarkQueryPath(b *testing.B) {
 	for _, count := range []int{8, 750} {
-		f := largeFleet(count)
+		f := newLargeFleet(count)
 		shards := f.Index().Services["search"].Latest().Shards
 		b.Run(fmt.Sprint("owners/", count), func(b *testing.B) {
 			for i := 0; b.Loop(); i++ {
@@ -83,12 +84,12 @@
 
 func BenchmarkChange(b *testing.B) {
 	for _, count := range []int{8, 750} {
-		f := largeFleet(count)
+		f := newLargeFleet(count)
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			incarnation := uint64(1)
 			for b.Loop() {
 				incarnation++
-				env := &pb.Envelope{Fleet: "test", Protocol: Protocol, Changes: []*pb.MemberChange{memberOf(1, incarnation)}}
+				env := &pb.Envelope{Fleet: "test", Protocol: Protocol, Changes: []*pb.MemberChange{aliveChange(1, incarnation)}}
 				if err := f.Receive(env); err != nil {
 					b.Fatal(err)
 				}
--- a/node/fleet/claim.go
+++ b/node/fleet/claim.go
@@ -12,18 +12,17 @@
 )
 
 const (
-	// claimsPerLease is how often a claim is renewed within a lease, so that one
-	// lost message does not end it.
+	// claimsPerLease is the number of claim rounds per lease. With more than one, a
+	// lost message does not let the lease expire.
 	claimsPerLease = 4
-	// restsNoted is the number of rounds without consent that make an event.
-	restsNoted = 4
-	// maxClaims bounds the replicas that one message claims, and those that it
-	// gives back.
+	// blockedRoundsForEvent is the number of consecutive rounds with a missing
+	// consent after which an event is recorded.
+	blockedRoundsForEvent = 4
+	// maxClaims limits the claims in one message, and its releases.
 	maxClaims = 256
 )
 
-// claimLoop renews the claims to the cold replicas that this node was asked
-// about lately.
+// claimLoop renews the claims of the replicas in coldReplicas.
 func (f *Fleet) claimLoop(ctx context.Context) {
 	for {
 		timer := time.NewTimer(claimParams.Lease / claimsPerLease)
@@ -35,40 +34,41 @@
 		case <-f.claimWake:
 			timer.Stop()
 		}
-		f.claim(ctx)
+		f.runClaimRound(ctx)
 	}
 }
 
-// exchange is what one round tells one member about cold replicas.
-type exchange struct {
+// claimMessage holds the claims and releases for one member in one round.
+type claimMessage struct {
 	claims, releases []string
 }
 
-// claim asks for consent to each wanted replica, and gives consents back that
-// stand in the way of a node above, in one message to each node.
-func (f *Fleet) claim(ctx context.Context) {
-	inFlight := f.inFlight(f.wantedNames())
+// runClaimRound claims the replicas in coldReplicas. It also releases consents that
+// block a higher-ranked node. Each member receives at most one message.
+func (f *Fleet) runClaimRound(ctx context.Context) {
+	inFlight := f.inFlight(f.coldReplicaNames())
 	now := time.Now()
-	round, exchanges := f.exchanges(now, inFlight)
+	round, messages := f.claimMessages(now, inFlight)
 	var wg sync.WaitGroup
-	for member, ex := range exchanges {
-		wg.Go(func() { f.exchangeClaims(ctx, now, round, member, ex) })
+	for member, msg := range messages {
+		wg.Go(func() { f.sendClaimMessage(ctx, now, round, member, msg) })
 	}
 	wg.Wait()
-	f.unlockAfter(func() { f.noteResting(time.Now()) })
+	f.update(func() { f.recordBlockedReplicas(time.Now()) })
 }
 
-func (f *Fleet) wantedNames() []string {
+func (f *Fleet) coldReplicaNames() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	names := make([]string, 0, len(f.wanted))
-	for name := range f.wanted {
+	names := make([]string, 0, len(f.coldReplicas))
+	for name := range f.coldReplicas {
 		names = append(names, name)
 	}
 	return names
 }
 
-// inFlight counts this node's requests at replicas. It is called without mu.
+// inFlight returns the number of this node's requests in flight by replica. The
+// caller does not hold mu.
 func (f *Fleet) inFlight(replicas []string) map[string]int {
 	counts := make(map[string]int, len(replicas))
 	if f.opts.InFlight == nil {
@@ -80,97 +80,99 @@
 	return counts
 }
 
-// noteResting records which cold replicas rest because a node does not consent:
-// it is cut off or gone without the platform confirming it. The caller holds mu.
-func (f *Fleet) noteResting(now time.Time) {
+// recordBlockedReplicas queues an event for each cold replica that this node cannot
+// use because a consent is missing. The granter may be partitioned, or it stopped
+// and the platform has not confirmed it gone. The caller holds mu.
+func (f *Fleet) recordBlockedReplicas(now time.Time) {
 	v := f.view.Load()
-	for name, w := range f.wanted {
-		missing := f.claims.MissingConsents(now, name, v.order(w.replica, now), settleTime(w.replica))
+	for name, cold := range f.coldReplicas {
+		missing := f.claims.MissingConsents(now, name, v.claimRanking(cold.replica, now), maxRequestTime(cold.replica))
 		switch {
 		case len(missing) > 0:
-			w.rests++
-			if w.rests == restsNoted {
-				f.note("cold replica rests", name, "no consent from "+missing[0].Name)
+			cold.blockedRounds++
+			if cold.blockedRounds == blockedRoundsForEvent {
+				f.queueEvent("cold replica rests", name, "no consent from "+missing[0].Name)
 			}
-		case w.rests >= restsNoted:
-			f.note("cold replica may be used", name, "")
-			w.rests = 0
+		case cold.blockedRounds >= blockedRoundsForEvent:
+			f.queueEvent("cold replica may be used", name, "")
+			cold.blockedRounds = 0
 		default:
-			w.rests = 0
+			cold.blockedRounds = 0
 		}
-		f.wanted[name] = w
+		f.coldReplicas[name] = cold
 	}
 }
 
-// exchanges returns the claims and releases of a round by the member to send
-// them to, and the round's number. A replica without a count in inFlight came up
-// after the counting and is not given back in this round.
-func (f *Fleet) exchanges(now time.Time, inFlight map[string]int) (uint64, map[Member]*exchange) {
+// claimMessages returns the messages of a round by receiver, and the number of the
+// round. A replica without a count in inFlight was added after the requests were
+// counted. It is not released in this round.
+func (f *Fleet) claimMessages(now time.Time, inFlight map[string]int) (uint64, map[Member]*claimMessage) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	v := f.view.Load()
 	round := f.claims.NextRound()
-	exchanges := make(map[Member]*exchange)
-	for name, w := range f.wanted {
-		if now.Sub(w.at) > claimMemory {
-			delete(f.wanted, name)
+	messages := make(map[Member]*claimMessage)
+	for name, cold := range f.coldReplicas {
+		if now.Sub(cold.lastQuery) > claimRetention {
+			delete(f.coldReplicas, name)
 			continue
 		}
-		order := v.order(w.replica, now)
+		ranking := v.claimRanking(cold.replica, now)
 		count, counted := inFlight[name]
 		if f.opts.InFlight == nil || counted {
-			f.addReleases(exchanges, name, f.claims.Release(now, name, order, count, settleTime(w.replica)))
+			f.addReleases(messages, name, f.claims.Release(now, name, ranking, count, maxRequestTime(cold.replica)))
 		}
-		if !v.self.Usable() || f.mustSettleIn(now, order) {
+		if !v.self.Usable() || f.mustDelayClaims(now, ranking) {
 			continue
 		}
-		f.addClaims(exchanges, name, f.claims.BeginClaim(now, name, order, settleTime(w.replica)))
+		f.addClaims(messages, name, f.claims.BeginClaim(now, name, ranking, maxRequestTime(cold.replica)))
 	}
-	return round, exchanges
+	return round, messages
 }
 
-func (f *Fleet) addClaims(exchanges map[Member]*exchange, replica string, nodes []ownership.Node) {
+func (f *Fleet) addClaims(messages map[Member]*claimMessage, replica string, nodes []ownership.Node) {
 	for _, node := range nodes {
-		if ex := f.exchangeWith(exchanges, node); ex != nil && len(ex.claims) < maxClaims {
-			ex.claims = append(ex.claims, replica)
+		if msg := f.messageTo(messages, node); msg != nil && len(msg.claims) < maxClaims {
+			msg.claims = append(msg.claims, replica)
 		}
 	}
 }
 
-func (f *Fleet) addReleases(exchanges map[Member]*exchange, replica string, nodes []ownership.Node) {
+func (f *Fleet) addReleases(messages map[Member]*claimMessage, replica string, nodes []ownership.Node) {
 	for _, node := range nodes {
-		if ex := f.exchangeWith(exchanges, node); ex != nil && len(ex.releases) < maxClaims {
-			ex.releases = append(ex.releases, replica)
+		if msg := f.messageTo(messages, node); msg != nil && len(msg.releases) < maxClaims {
+			msg.releases = append(msg.releases, replica)
 		}
 	}
 }
 
-// exchangeWith returns the message to a node, nil when the node is not known any
-// more. The caller holds mu.
-func (f *Fleet) exchangeWith(exchanges map[Member]*exchange, node ownership.Node) *exchange {
+// messageTo returns the message to a node, or nil if the node is no longer in the
+// table. The caller holds mu.
+func (f *Fleet) messageTo(messages map[Member]*claimMessage, node ownership.Node) *claimMessage {
 	m, known := f.table.Lookup(membership.ID{Name: node.Name, Boot: node.Boot})
 	if !known {
 		return nil
 	}
-	if exchanges[m] == nil {
-		exchanges[m] = &exchange{}
+	if messages[m] == nil {
+		messages[m] = &claimMessage{}
 	}
-	return exchanges[m]
+	return messages[m]
 }
 
-// exchangeClaims sends one message of a round and notes what its answer says.
-func (f *Fleet) exchangeClaims(ctx context.Context, sent time.Time, round uint64, member Member, ex *exchange) {
+// sendClaimMessage sends one message of a round and records the grants and releases
+// in the response.
+func (f *Fleet) sendClaimMessage(ctx context.Context, sent time.Time, round uint64, member Member, msg *claimMessage) {
 	ctx, cancel := context.WithTimeout(ctx, f.timing.pingTimeout)
 	defer cancel()
-	env, news := f.pingEnvelope(member.ID())
+	env, queued := f.pingEnvelope(member.ID())
 	resp, err := f.opts.Peers.Gossip(ctx, member.PeerAddress, &pb.GossipRequest{
 		Envelope:   env,
-		Claims:     ex.claims,
-		Releases:   ex.releases,
+		Claims:     msg.claims,
+		Releases:   msg.releases,
 		ClaimRound: round,
 	})
 	if err != nil {
-		f.unsent(news)
+		f.markUnsent(queued)
 		return
 	}
 	if f.Receive(resp.GetEnvelope()) != nil {
@@ -182,42 +184,43 @@
 	for _, replica := range resp.GetGranted() {
 		f.claims.RecordGrant(sent, replica, by)
 	}
-	for _, replica := range ex.releases {
+	for _, replica := range msg.releases {
 		f.claims.RecordRelease(replica, by, round)
 	}
 }
 
-// takeBack ends consents that another node gives back.
-func (f *Fleet) takeBack(from ownership.Node, round uint64, releases []string) {
+// endGrants ends grants whose claimant releases the replicas.
+func (f *Fleet) endGrants(from ownership.Node, round uint64, releases []string) {
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	v := f.view.Load()
-	for _, r := range v.ownReplicas(releases) {
-		f.claims.EndGrant(now, ownership.Claim{Replica: r.Name, Claimant: from, Round: round}, v.order(r, now))
+	for _, r := range v.localReplicas(releases) {
+		f.claims.EndGrant(now, ownership.Claim{Replica: r.Name, Claimant: from, Round: round}, v.claimRanking(r, now))
 	}
 }
 
-// grant returns the claims of another node that this node consents to.
-func (f *Fleet) grant(to ownership.Node, round uint64, claims []string) []string {
+// grantClaims returns the claims of another node that this node grants.
+func (f *Fleet) grantClaims(to ownership.Node, round uint64, claims []string) []string {
 	inFlight := f.inFlight(claims[:min(len(claims), maxClaims)])
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	v := f.view.Load()
 	var granted []string
-	for _, r := range v.ownReplicas(claims) {
+	for _, r := range v.localReplicas(claims) {
 		claim := ownership.Claim{Replica: r.Name, Claimant: to, Round: round}
-		if f.claims.Grant(now, claim, v.order(r, now), inFlight[r.Name], settleTime(r)) {
+		if f.claims.Grant(now, claim, v.claimRanking(r, now), inFlight[r.Name], maxRequestTime(r)) {
 			granted = append(granted, r.Name)
 		}
 	}
 	return granted
 }
 
-// ownReplicas returns the replicas of this node's data centre among the names
-// that a message carries, of which it reads no more than a sender puts in.
-func (v *view) ownReplicas(names []string) []*config.Replica {
+// localReplicas returns the named replicas that belong to this node's data centre.
+// It reads only the first maxClaims names of a message, the maximum that a node
+// sends.
+func (v *view) localReplicas(names []string) []*config.Replica {
 	if v.index == nil {
 		return nil
 	}
--- a/node/fleet/cold.go
+++ b/node/fleet/cold.go
@@ -11,45 +11,46 @@
 var claimParams = ownership.DefaultClaimParams()
 
 const (
-	// claimMemory is how long claims go on after the last question about a
-	// replica.
-	claimMemory = 30 * time.Second
-	// verdictLife is how long a right to use a cold replica is taken as given
-	// without a look at the policy. It is part of the settle time and a small part
-	// of the claims' margin.
-	verdictLife = 20 * time.Millisecond
-	// joinSpread is how long the news of a join takes to reach every member.
-	joinSpread = 5 * time.Second
+	// claimRetention is how long a claim is renewed after the last call of
+	// MayUseCold for the replica.
+	claimRetention = 30 * time.Second
+	// permissionTTL is how long MayUseCold caches a permission. It is included in
+	// maxRequestTime and is much shorter than the margin of the claims.
+	permissionTTL = 20 * time.Millisecond
+	// joinPropagation is the time that a join needs to reach every member.
+	joinPropagation = 5 * time.Second
 )
 
-// want is a replica that this node was asked about.
-type want struct {
-	replica *config.Replica
-	at      time.Time
-	// rests counts the rounds in a row without the consent of every node asked.
-	rests int
+// coldReplica is a replica for which MayUseCold was recently called.
+type coldReplica struct {
+	replica   *config.Replica
+	lastQuery time.Time
+	// blockedRounds is the number of consecutive rounds with a missing consent.
+	blockedRounds int
 }
 
 func nodeOf(m Member) ownership.Node {
 	return ownership.Node{Name: m.Name, Boot: m.Boot}
 }
 
-// MayUseCold reports whether this node is the one that may send requests to a
-// cold replica. Ask right before each send: the right lapses with time, and a
-// node that was paused finds out here. The first question about a replica is
-// answered false, and starts the claim. Ask only while the replica is cold, or always
-// where cold starts are silent: each question keeps the claim, and its messages,
-// going for a while.
+// MayUseCold reports whether this node may send requests to a cold replica. At most
+// one node may at any time.
+//
+// Call it immediately before each send. The permission expires, so a node that was
+// paused does not send on an outdated permission. The first call for a replica
+// returns false and starts a claim. Call it only while the replica is cold, or
+// always for a service with silent cold starts: each call extends the claim and its
+// messages by claimRetention.
 func (f *Fleet) MayUseCold(r *config.Replica) bool {
 	now := time.Now()
 	v := f.view.Load()
-	if at, ok := v.allowed.Load(r.Name); ok && now.Sub(at.(time.Time)) < verdictLife {
+	if at, ok := v.lastAllowed.Load(r.Name); ok && now.Sub(at.(time.Time)) < permissionTTL {
 		return true
 	}
 	if !f.mayUseCold(now, r) {
 		return false
 	}
-	v.allowed.Store(r.Name, now)
+	v.lastAllowed.Store(r.Name, now)
 	return true
 }
 
@@ -60,54 +61,57 @@
 	if v.self.DataCentre != r.DataCentre || !v.self.Usable() {
 		return false
 	}
-	if known, ok := f.wanted[r.Name]; !ok || now.Sub(known.at) > claimMemory {
+	if known, ok := f.coldReplicas[r.Name]; !ok || now.Sub(known.lastQuery) > claimRetention {
 		wake(f.claimWake)
 	}
-	f.wanted[r.Name] = want{replica: r, at: now, rests: f.wanted[r.Name].rests}
-	order := v.order(r, now)
-	if f.mustSettleIn(now, order) {
+	f.coldReplicas[r.Name] = coldReplica{replica: r, lastQuery: now, blockedRounds: f.coldReplicas[r.Name].blockedRounds}
+	ranking := v.claimRanking(r, now)
+	if f.mustDelayClaims(now, ranking) {
 		return false
 	}
-	return f.claims.MayUse(now, r.Name, order, settleTime(r))
+	return f.claims.MayUse(now, r.Name, ranking, maxRequestTime(r))
 }
 
-// mustSettleIn reports whether this node joined too recently to claim anything: it
-// has not met the others yet. In a data centre with more nodes than are asked for
-// consent, a claimant that has not heard of this node yet may have asked others.
-func (f *Fleet) mustSettleIn(now time.Time, order ownership.Ranking) bool {
-	rivals := len(order.Higher) + len(order.Lower)
-	return f.isNewcomer(now) || rivals > claimParams.MaxGranters && now.Sub(f.since) < joinSpread
+// mustDelayClaims reports whether this node joined too recently to claim replicas.
+// While it is joining, it may lack records of other nodes. In a data centre with
+// more than MaxGranters other nodes, a claimant that has no record of this node may
+// hold the consents of different nodes.
+func (f *Fleet) mustDelayClaims(now time.Time, ranking ownership.Ranking) bool {
+	candidateCount := len(ranking.Higher) + len(ranking.Lower)
+	return f.isJoining(now) || candidateCount > claimParams.MaxGranters && now.Sub(f.joinedAt) < joinPropagation
 }
 
-// settleTime is the longest time that a request takes at a replica: an attempt
-// ends with its deadline.
-func settleTime(r *config.Replica) time.Duration {
-	return r.Service.MaxDeadline + verdictLife
+// maxRequestTime returns the maximum duration of a request to a replica: the
+// deadline of an attempt plus the lifetime of a cached permission.
+func maxRequestTime(r *config.Replica) time.Duration {
+	return r.Service.MaxDeadline + permissionTTL
 }
 
-// order returns the ranking for a replica around this node. Every member of the
-// data centre that is not confirmed gone keeps its place, dead ones included: a
-// dead member may be running behind a partition and still sending.
-func (v *view) order(r *config.Replica, now time.Time) ownership.Ranking {
-	var order ownership.Ranking
-	list := &order.Higher
-	for _, m := range v.ranking(r) {
+// claimRanking returns the ranking of the other nodes for a replica. It includes
+// every member of the data centre that is not confirmed gone. Dead members are
+// included, because a dead member may be running in a partition and still be
+// sending.
+func (v *view) claimRanking(r *config.Replica, now time.Time) ownership.Ranking {
+	var ranking ownership.Ranking
+	list := &ranking.Higher
+	for _, m := range v.rankedMembers(r) {
 		if m.ID() == v.self.ID() {
-			list = &order.Lower
+			list = &ranking.Lower
 			continue
 		}
-		rival := ownership.Candidate{Node: nodeOf(m)}
+		candidate := ownership.Candidate{Node: nodeOf(m)}
 		if m.State == pb.MemberState_MEMBER_STATE_LEAVING {
-			rival.LeavingFor = now.Sub(m.Since)
+			candidate.LeavingFor = now.Sub(m.Since)
 		}
-		*list = append(*list, rival)
+		*list = append(*list, candidate)
 	}
-	return order
+	return ranking
 }
 
-// ranking returns the members of the replica's data centre, best first.
-func (v *view) ranking(r *config.Replica) []Member {
-	if cached, ok := v.ranked.Load(r.Name); ok {
+// rankedMembers returns the members of the replica's data centre, highest-ranked
+// first.
+func (v *view) rankedMembers(r *config.Replica) []Member {
+	if cached, ok := v.rankingCache.Load(r.Name); ok {
 		return cached.([]Member)
 	}
 	boots := make(map[string][]Member)
@@ -125,6 +129,6 @@
 	for _, name := range ownership.Rank(r.Name, names) {
 		ranked = append(ranked, boots[name]...)
 	}
-	v.ranked.Store(r.Name, ranked)
+	v.rankingCache.Store(r.Name, ranked)
 	return ranked
 }
--- a/node/fleet/cold_test.go
+++ b/node/fleet/cold_test.go
@@ -8,14 +8,15 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// coldUser asks two co-owners every 20 ms whether they may use the cold replica
-// of their data centre, for as long as d, and fails the test when both may
-// within the time that one request takes. It returns the last one that might.
-func coldUser(t *testing.T, nodes []*testNode, d time.Duration) *testNode {
+// coldReplicaUser calls MayUseCold for the data centre's cold replica every 20 ms
+// on each node, for the duration d. It fails the test if two nodes get permission
+// within 300 ms, the maximum duration of a request. It returns the last node with
+// permission, or nil if that permission is older than a second.
+func coldReplicaUser(t *testing.T, nodes []*testNode, d time.Duration) *testNode {
 	t.Helper()
 	var user *testNode
 	var used time.Time
-	for began := time.Now(); time.Since(began) < d; time.Sleep(20 * time.Millisecond) {
+	for start := time.Now(); time.Since(start) < d; time.Sleep(20 * time.Millisecond) {
 		for _, n := range nodes {
 			index := n.Index()
 			if index == nil || n.isPaused() || !n.MayUseCold(index.Replicas["r-"+n.dc]) {
@@ -33,15 +34,16 @@
 	return user
 }
 
-// coldWorld starts 8 nodes and returns them, with the node of data centre a that
-// may use the cold replica there and the one that may not.
-func coldWorld(t *testing.T, w *world) (nodes []*testNode, first, second *testNode) {
-	w.publish(sheetOf(1))
-	nodes = w.fleetOfEight()
-	w.until(5*time.Second, "all nodes start", func() bool { return allAt(nodes, 1)() && allKnow(nodes, 8)() })
-	first, second = coldUser(t, nodes[:2], time.Second), nodes[0]
+// startWithColdReplica starts 8 nodes. It returns the nodes, and of the two nodes
+// of data centre a the one that may use the cold replica (first) and the other one
+// (second).
+func startWithColdReplica(t *testing.T, c *cluster) (nodes []*testNode, first, second *testNode) {
+	c.publish(testConfiguration(1))
+	nodes = c.startEightNodes()
+	c.waitFor(5*time.Second, "all nodes start", func() bool { return allAtVersion(nodes, 1)() && allSeeAlive(nodes, 8)() })
+	first, second = coldReplicaUser(t, nodes[:2], time.Second), nodes[0]
 	if first == nil {
-		t.Fatal("nobody may use the cold replica")
+		t.Fatal("no node may use the cold replica")
 	}
 	if first == second {
 		second = nodes[1]
@@ -49,55 +51,53 @@
 	return nodes, first, second
 }
 
-// The first owner of a cold replica is paused in the middle of its work. The
-// other owner waits until the first one's claim must have lapsed, then serves.
-// On waking the first one still believes that it is in charge; it must not send,
-// or the replica gets twice the load that it bears.
-func TestPausedOwnerOfColdReplicaStopsBeforeItSends(t *testing.T) {
+// An owner that resumes after another owner has taken over must not send to the
+// cold replica. Otherwise both send to the replica and overload it.
+func TestResumedOwnerDoesNotSendToColdReplicaAfterTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
-		_, first, second := coldWorld(t, w)
+		c := newCluster(t)
+		_, first, second := startWithColdReplica(t, c)
 		first.pause()
-		took := w.until(5*time.Second, "the other owner takes over", func() bool {
+		took := c.waitFor(5*time.Second, "the other owner takes over", func() bool {
 			return second.MayUseCold(second.Index().Replicas["r-a"])
 		})
 		t.Logf("taken over after %v", took)
 		first.resume()
 		if first.MayUseCold(first.Index().Replicas["r-a"]) {
-			t.Fatal("the paused owner sends on waking")
+			t.Fatal("the owner may still use the cold replica after it resumes")
 		}
-		if got := coldUser(t, []*testNode{first, second}, 6*time.Second); got != first {
-			t.Fatal("the first owner did not get the replica back")
+		if got := coldReplicaUser(t, []*testNode{first, second}, 6*time.Second); got != first {
+			t.Fatal("the first owner does not use the replica again")
 		}
 	})
 }
 
-// A data centre splits in two: its nodes reach the backend server but not each
-// other. Both would be the first owner in their own view.
-func TestColdReplicaHasOneUserInASplitDataCentre(t *testing.T) {
+// While a data centre is partitioned, its nodes reach the backend server but not
+// each other. They must not both use the cold replica.
+func TestColdReplicaHasOneUserInPartitionedDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
-		nodes, first, second := coldWorld(t, w)
-		w.split(func(a, b *testNode) bool { return a.dc == "a" && b.dc == "a" })
-		if got := coldUser(t, nodes[:2], 20*time.Second); got == nil {
-			t.Fatal("nobody may use the cold replica")
+		c := newCluster(t)
+		nodes, first, second := startWithColdReplica(t, c)
+		c.partition(func(a, b *testNode) bool { return a.dc == "a" && b.dc == "a" })
+		if got := coldReplicaUser(t, nodes[:2], 20*time.Second); got == nil {
+			t.Fatal("no node may use the cold replica")
 		}
-		w.split(nil)
-		if got := coldUser(t, nodes[:2], 10*time.Second); got != first {
-			t.Fatalf("after healing the replica is used by %v, not by %s (other: %s)", got, first.name, second.name)
+		c.partition(nil)
+		if got := coldReplicaUser(t, nodes[:2], 10*time.Second); got != first {
+			t.Fatalf("after the partition the replica is used by %v, want %s (other owner: %s)", got, first.name, second.name)
 		}
 	})
 }
 
-// A node shuts down. It stops using the cold replica when it says so; the other
-// owner starts once requests under way have ended, without waiting for the end
-// of the shutdown.
-func TestLeavingOwnerHandsColdReplicaOver(t *testing.T) {
+// A leaving owner stops using the cold replica when it announces its leave. The
+// other owner takes over when requests in flight have ended, before the shutdown
+// ends.
+func TestOtherOwnerTakesOverColdReplicaFromLeavingOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
-		nodes, first, second := coldWorld(t, w)
+		c := newCluster(t)
+		nodes, first, second := startWithColdReplica(t, c)
 		go first.Leave(t.Context())
-		if got := coldUser(t, nodes[:2], 2*time.Second); got != second {
+		if got := coldReplicaUser(t, nodes[:2], 2*time.Second); got != second {
 			t.Fatal("the other owner did not take over")
 		}
 		if ready, reason := first.Ready(); ready || reason != "the node is shutting down" {
@@ -106,49 +106,49 @@
 	})
 }
 
-// An owner's VM is replaced: the process ends without a word and another boot
-// starts under the same name. The new boot answers in its place, so the old one
-// counts as gone and what it held is free.
-func TestReplacedOwnerIsGone(t *testing.T) {
+// A VM is replaced: its process ends without an announcement, and another boot
+// starts under the same name. When the new boot answers pings, the previous boot
+// must count as gone, so that the new boot can use the cold replica.
+func TestNewBootOfReplacedVMUsesColdReplica(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
-		nodes, first, second := coldWorld(t, w)
+		c := newCluster(t)
+		nodes, first, second := startWithColdReplica(t, c)
 		first.kill()
 		time.Sleep(500 * time.Millisecond)
-		replaced := w.start(first.name, first.dc, "10.0.0.2", "10.0.0.3")
-		if got := coldUser(t, []*testNode{replaced, second}, 8*time.Second); got != replaced {
+		replaced := c.start(first.name, first.dc, "10.0.0.2", "10.0.0.3")
+		if got := coldReplicaUser(t, []*testNode{replaced, second}, 8*time.Second); got != replaced {
 			t.Fatal("the new boot does not use the cold replica")
 		}
 		for _, m := range nodes[4].Members() {
 			if m.Name == first.name && (m.Boot != replaced.Self().Boot || m.State != pb.MemberState_MEMBER_STATE_ALIVE) {
-				t.Fatalf("still known: %+v", m)
+				t.Fatalf("unexpected member entry after the replacement: %+v", m)
 			}
 		}
 	})
 }
 
-// The second owner's VM is lost for good during an outage of the platform, while
-// the first one uses the cold replica. The first owner lacks its consent and has
-// to rest, and says so, until the platform's list confirms that the VM is gone.
-func TestColdReplicaRestsUntilALostOwnerIsConfirmedGone(t *testing.T) {
+// An owner is lost during an outage of the platform. The other owner lacks its
+// consent, so the cold replica must stay unused, and an event must be recorded,
+// until the platform confirms the lost owner gone.
+func TestColdReplicaIsUnusedUntilLostOwnerIsConfirmedGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
-		_, first, second := coldWorld(t, w)
+		c := newCluster(t)
+		_, first, second := startWithColdReplica(t, c)
 		time.Sleep(3 * time.Minute)
-		coldUser(t, []*testNode{first}, time.Second)
-		w.setPlatformDown(true)
+		coldReplicaUser(t, []*testNode{first}, time.Second)
+		c.setPlatformDown(true)
 		second.kill()
 		r := first.Index().Replicas["r-a"]
-		for began := time.Now(); time.Since(began) < time.Minute; time.Sleep(100 * time.Millisecond) {
-			if first.MayUseCold(r) && time.Since(began) > 2*time.Second {
+		for start := time.Now(); time.Since(start) < time.Minute; time.Sleep(100 * time.Millisecond) {
+			if first.MayUseCold(r) && time.Since(start) > 2*time.Second {
 				t.Fatal("the replica is used without consent")
 			}
 		}
-		w.setPlatformDown(false)
-		took := w.until(time.Minute, "the replica is used again", func() bool { return first.MayUseCold(r) })
-		t.Logf("used %v after the platform is back", took)
-		if !first.saw("cold replica rests r-a no consent from " + second.name) {
-			t.Fatalf("not told: %q", first.events)
+		c.setPlatformDown(false)
+		took := c.waitFor(time.Minute, "the replica is used again", func() bool { return first.MayUseCold(r) })
+		t.Logf("used %v after the end of the outage", took)
+		if !first.hasEvent("cold replica rests r-a no consent from " + second.name) {
+			t.Fatalf("no event for the blocked replica: %q", first.events)
 		}
 	})
 }
--- a/node/fleet/envelope.go
+++ b/node/fleet/envelope.go
@@ -11,7 +11,8 @@
 	"github.com/carobmill/carobmill/policy/membership"
 )
 
-// ErrTooLarge reports an envelope with more changes than a fleet has members.
+// ErrTooLarge reports an envelope with more member changes than a fleet can have
+// members.
 var ErrTooLarge = errors.New("envelope carries too many changes")
 
 // NameMismatchError reports a message of another fleet.
@@ -19,7 +20,7 @@
 	Fleet string
 }
 
-// Error names the other fleet.
+// Error returns a message with the name of the other fleet.
 func (e *NameMismatchError) Error() string {
 	return fmt.Sprintf("message of another fleet %q", e.Fleet)
 }
@@ -29,20 +30,20 @@
 	Protocol uint32
 }
 
-// Error names the other version.
+// Error returns a message with both protocol versions.
 func (e *ProtocolMismatchError) Error() string {
 	return fmt.Sprintf("message of protocol version %d, this node speaks %d", e.Protocol, Protocol)
 }
 
-// Envelope is put on each message to a peer. It carries the configuration
-// version in force and news of members that has not been passed on enough.
+// Envelope returns the envelope for a message to a peer. It contains the
+// configuration version in force and the member changes that are queued for gossip.
 func (f *Fleet) Envelope() *pb.Envelope {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.envelope(f.table.Changes())
 }
 
-// envelope makes a message header with the given changes. The caller holds mu.
+// envelope returns an envelope with the given changes. The caller holds mu.
 func (f *Fleet) envelope(changes []*pb.MemberChange) *pb.Envelope {
 	self := f.table.Self()
 	return &pb.Envelope{
@@ -55,52 +56,54 @@
 	}
 }
 
-// pingEnvelope is Envelope for a ping. It carries this node's own entry, so that
-// a member that missed the news of it learns within one round of pings, and what
-// this node believes of the receiver, so that a member that is wrongly suspected
-// or dead hears of it and refutes it. The second result is the part that counts
-// as passed on.
+// pingEnvelope returns the envelope for a ping. It also contains this node's own
+// entry, so that a member that missed the gossip about this node receives the entry
+// within one round of pings. If the receiver is not alive in this node's table, its
+// state is included, so that a receiver that is running can refute it. The second
+// result is the queued changes to pass to markUnsent if the message is not
+// answered.
 func (f *Fleet) pingEnvelope(receiver membership.ID) (*pb.Envelope, []*pb.MemberChange) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	news := f.table.Changes()
-	changes := slices.Clone(news)
+	queued := f.table.Changes()
+	changes := slices.Clone(queued)
 	self := f.table.Self()
-	if !carries(changes, self.ID()) {
+	if !containsMember(changes, self.ID()) {
 		changes = append(changes, self.Change())
 	}
-	return f.envelope(f.withNews(changes, receiver)), news
+	return f.envelope(f.withReceiverState(changes, receiver)), queued
 }
 
-// unsent takes back that news was passed on with a message that got no answer.
-func (f *Fleet) unsent(news []*pb.MemberChange) {
+// markUnsent marks changes as not sent, because their message was not answered.
+func (f *Fleet) markUnsent(queued []*pb.MemberChange) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.table.MarkUnsent(news)
+	f.table.MarkUnsent(queued)
 }
 
-// answerEnvelope is Envelope for the answer to a ping. It tells the sender what
-// this node believes of it, and of the member that it could not reach, if any.
-func (f *Fleet) answerEnvelope(sender membership.ID, target string) *pb.Envelope {
+// responseEnvelope returns the envelope for the response to a ping. It includes the
+// states of the sender and of the requested target, if they are not alive in this
+// node's table. The target is empty for a direct ping.
+func (f *Fleet) responseEnvelope(sender membership.ID, target string) *pb.Envelope {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	changes := f.withNews(f.table.Changes(), sender)
+	changes := f.withReceiverState(f.table.Changes(), sender)
 	if target != "" {
 		changes = append(changes, f.table.NonAliveChanges(target)...)
 	}
 	return f.envelope(changes)
 }
 
-// withNews adds what this node believes of the receiver, unless it is alive. The
-// caller holds mu.
-func (f *Fleet) withNews(changes []*pb.MemberChange, receiver membership.ID) []*pb.MemberChange {
-	if about := f.table.NonAliveChange(receiver); about != nil {
-		return append(changes, about)
+// withReceiverState adds the state of the receiver, unless the receiver is alive.
+// The caller holds mu.
+func (f *Fleet) withReceiverState(changes []*pb.MemberChange, receiver membership.ID) []*pb.MemberChange {
+	if change := f.table.NonAliveChange(receiver); change != nil {
+		return append(changes, change)
 	}
 	return changes
 }
 
-func carries(changes []*pb.MemberChange, id membership.ID) bool {
+func containsMember(changes []*pb.MemberChange, id membership.ID) bool {
 	for _, c := range changes {
 		if c.GetNode() == id.Name && c.GetBoot() == id.Boot {
 			return true
@@ -109,36 +112,36 @@
 	return false
 }
 
-// Receive takes in the envelope of a message from a peer. A message whose
-// envelope is refused must not be acted upon. The error is a NameMismatchError,
-// a ProtocolMismatchError or ErrTooLarge.
+// Receive validates and applies the envelope of a message from a peer. If it
+// returns an error, the message must be discarded. The error is a
+// NameMismatchError, a ProtocolMismatchError or ErrTooLarge.
 func (f *Fleet) Receive(env *pb.Envelope) error {
-	if err := f.check(env); err != nil {
+	if err := f.checkEnvelope(env); err != nil {
 		f.stats.refused.Add(1)
 		return err
 	}
-	if len(env.GetChanges()) == 0 && env.GetConfigVersion() <= f.version() {
+	if len(env.GetChanges()) == 0 && env.GetConfigVersion() <= f.configVersion() {
 		return nil
 	}
 	now := time.Now()
-	urgent := false
-	f.unlockAfter(func() {
+	hasPriority := false
+	f.update(func() {
 		for _, change := range env.GetChanges() {
-			f.apply(now, change)
+			f.applyChange(now, change)
 		}
 		f.table.UpdateConfigVersion(membership.ID{Name: env.GetSender(), Boot: env.GetBoot()}, env.GetConfigVersion())
-		urgent = f.table.HasPriorityPing()
+		hasPriority = f.table.HasPriorityPing()
 	})
-	if urgent {
+	if hasPriority {
 		wake(f.pingWake)
 	}
-	if env.GetConfigVersion() > f.version() {
+	if env.GetConfigVersion() > f.configVersion() {
 		wake(f.pullWake)
 	}
 	return nil
 }
 
-func (f *Fleet) check(env *pb.Envelope) error {
+func (f *Fleet) checkEnvelope(env *pb.Envelope) error {
 	switch {
 	case env.GetFleet() != f.opts.Settings.GetFleet():
 		return &NameMismatchError{Fleet: env.GetFleet()}
@@ -150,8 +153,8 @@
 	return nil
 }
 
-// version is the configuration version in force.
-func (f *Fleet) version() uint64 {
+// configVersion returns the configuration version in force, or 0.
+func (f *Fleet) configVersion() uint64 {
 	index := f.Index()
 	if index == nil {
 		return 0
@@ -159,14 +162,15 @@
 	return index.Version
 }
 
-// apply takes in one change. The caller holds mu.
-func (f *Fleet) apply(now time.Time, change *pb.MemberChange) {
+// applyChange applies one change to the table. If other members marked this node's
+// boot as gone, the node rejoins with a new boot number. The caller holds mu.
+func (f *Fleet) applyChange(now time.Time, change *pb.MemberChange) {
 	if f.table.Apply(now, change) != membership.DeclaredGone {
 		return
 	}
 	old := f.table.Self()
 	f.table.Rejoin(f.rng.Uint64())
 	f.claims.Reset()
-	f.since = now
-	f.note("rejoined", old.Name, "others counted the earlier boot as gone")
+	f.joinedAt = now
+	f.queueEvent("rejoined", old.Name, "other members marked the previous boot as gone")
 }
--- a/node/fleet/fleet.go
+++ b/node/fleet/fleet.go
@@ -19,90 +19,97 @@
 	"github.com/carobmill/carobmill/policy/ownership"
 )
 
-// Protocol is the version of the messages between nodes. Others are refused.
+// Protocol is the version of the protocol between nodes. Messages of other versions
+// are rejected.
 const Protocol = 1
 
 // Member is one boot of one node.
 type Member = membership.Member
 
-// Peers reaches other nodes. An error means that no answer came.
+// Peers sends requests to other nodes. An error means that no response was
+// received.
 type Peers interface {
 	Gossip(ctx context.Context, addr string, req *pb.GossipRequest) (*pb.GossipResponse, error)
 	Pull(ctx context.Context, addr string, req *pb.PullConfigurationRequest) (*pb.PullConfigurationResponse, error)
 }
 
-// Entry is a value of the platform's key-value service.
+// Entry is a value of the platform's key-value service with its revision.
 type Entry struct {
 	Value    []byte
 	Revision uint64
 }
 
-// Platform reaches the platform's key-value service and VM list.
+// Platform provides access to the platform's key-value service and VM list.
 type Platform interface {
-	// Get reads a key. A key that is absent is ErrNoConfiguration.
+	// Get reads a key. It returns ErrNoConfiguration if the key does not exist.
 	Get(ctx context.Context, key string) (Entry, error)
-	// Watch waits until the key has a revision above after, or until ctx ends.
+	// Watch waits until the revision of the key is higher than after, or until ctx
+	// ends.
 	Watch(ctx context.Context, key string, after uint64) (Entry, error)
-	// VMs reads the VM list, which lags.
+	// VMs reads the VM list. The list may be outdated.
 	VMs(ctx context.Context) ([]membership.ListedVM, error)
 }
 
-// ErrNoConfiguration says that the platform answered and holds no configuration.
+// ErrNoConfiguration reports that the platform answered but has no configuration.
 var ErrNoConfiguration = errors.New("the platform holds no configuration")
 
-// Options of a Fleet.
+// Options are the settings and dependencies of a Fleet.
 type Options struct {
 	Settings *pb.Settings
 	Peers    Peers
 	Platform Platform
-	// Boot is the random number drawn at the start of the process.
+	// Boot is a random number that identifies this run of the process.
 	Boot uint64
 	Log  logrus.FieldLogger
 	// Event records a decision. It may be nil.
 	Event func(kind, subject, detail string)
-	// InFlight returns how many requests this node has at a replica; nil counts as
-	// none ever.
+	// InFlight returns the number of this node's requests in flight to a replica.
+	// If it is nil, the number is always 0.
 	InFlight func(replica string) int
-	// Rand draws jitter and the order of pings; nil seeds one from Boot.
+	// Rand is the source of jitter and of the ping order. If it is nil, a source is
+	// seeded from Boot.
 	Rand *rand.Rand
 }
 
-// Fleet is one node's part in the fleet. Its methods are safe for concurrent use.
+// Fleet maintains one node's view of the fleet. Its methods are safe for concurrent
+// use.
 type Fleet struct {
 	opts   Options
 	timing timing
 	key    string
 	log    logrus.FieldLogger
 
-	// mu guards the policy state and the fields down to pending.
+	// mu guards the fields from here to pendingEvents.
 	mu    sync.Mutex
 	table *membership.Table
 	state *configstate.State
 	rng   *rand.Rand
-	// claims and wanted are about cold replicas; wanted holds, by name, those that
-	// this node was asked about lately.
-	claims *ownership.Claims
-	wanted map[string]want
-	// since is when this boot took part first.
-	since    time.Time
-	newcomer newcomer
-	// joined is when a whole table was last taken over from a member.
-	joined time.Time
-	// pending are events to hand out once mu is released.
-	pending []event
+	// coldReplicas holds, by name, the replicas for which MayUseCold was recently
+	// called.
+	claims       *ownership.Claims
+	coldReplicas map[string]coldReplica
+	// joinedAt is when this boot joined: at the start of the process or at its last
+	// rejoin.
+	joinedAt  time.Time
+	joinState joinState
+	// lastFullSync is when syncAfterPartition last requested a full member table.
+	lastFullSync time.Time
+	// pendingEvents are passed to Options.Event after mu is released.
+	pendingEvents []event
 
 	view atomic.Pointer[view]
-	// revision counts the views.
+	// revision is the number of views published so far.
 	revision   atomic.Uint64
 	platformUp atomic.Bool
-	// pulls bounds the configurations handed out.
+	// pulls limits the rate at which configurations are served to peers.
 	pulls *rate.Limiter
-	// begun is closed after the first round of start.
-	begun chan struct{}
-	// pullWake and pingWake start their loops early; each holds one token.
+	// firstStartRound is closed after the first round of configurationLoop.
+	firstStartRound chan struct{}
+	// pullWake and pingWake wake their loops before the next interval. Each has a
+	// capacity of 1.
 	pullWake chan struct{}
 	pingWake chan struct{}
-	// claimWake starts a round of claims early.
+	// claimWake starts a claim round before the next interval.
 	claimWake chan struct{}
 	probes    sync.WaitGroup
 	stats     counters
@@ -112,7 +119,7 @@
 	kind, subject, detail string
 }
 
-// New returns a fleet that knows only its own node. Run brings it to life.
+// New returns a Fleet whose only member is this node. Call Run to start its loops.
 func New(opts Options) *Fleet {
 	if opts.Rand == nil {
 		opts.Rand = rand.New(rand.NewPCG(opts.Boot, 0))
@@ -123,7 +130,7 @@
 	s := opts.Settings
 	timing := newTiming(s.GetTiming())
 	params := membership.DefaultParams()
-	params.SuspectTimeout = timing.suspect
+	params.SuspectTimeout = timing.suspectTimeout
 	self := membership.Member{
 		Name:          s.GetNode(),
 		Boot:          opts.Boot,
@@ -132,31 +139,31 @@
 		CallerAddress: s.GetCallerAddress(),
 	}
 	f := &Fleet{
-		opts:      opts,
-		timing:    timing,
-		key:       configstate.Key(s.GetFleet()),
-		log:       opts.Log,
-		table:     membership.New(self, params, opts.Rand),
-		state:     configstate.New(s.GetFleet()),
-		rng:       opts.Rand,
-		pulls:     rate.NewLimiter(servedPulls, pullBurst),
-		pullWake:  make(chan struct{}, 1),
-		pingWake:  make(chan struct{}, 1),
-		claims:    ownership.NewClaims(claimParams),
-		wanted:    make(map[string]want),
-		since:     time.Now(),
-		newcomer:  newcomer{met: make(map[string]bool)},
-		begun:     make(chan struct{}),
-		claimWake: make(chan struct{}, 1),
+		opts:            opts,
+		timing:          timing,
+		key:             configstate.Key(s.GetFleet()),
+		log:             opts.Log,
+		table:           membership.New(self, params, opts.Rand),
+		state:           configstate.New(s.GetFleet()),
+		rng:             opts.Rand,
+		pulls:           rate.NewLimiter(servedPullsPerSecond, servedPullBurst),
+		pullWake:        make(chan struct{}, 1),
+		pingWake:        make(chan struct{}, 1),
+		claims:          ownership.NewClaims(claimParams),
+		coldReplicas:    make(map[string]coldReplica),
+		joinedAt:        time.Now(),
+		joinState:       joinState{answered: make(map[string]bool)},
+		firstStartRound: make(chan struct{}),
+		claimWake:       make(chan struct{}, 1),
 	}
-	f.unlockAfter(func() {})
+	f.update(func() {})
 	return f
 }
 
-// Run takes part in the fleet until ctx ends, and returns nil then.
+// Run runs all loops until ctx ends and then returns nil.
 func (f *Fleet) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	loops := []func(context.Context){f.pingLoop, f.syncLoop, f.claimLoop, f.joinLoop, f.startThenPull, f.watchLoop, f.listLoop}
+	loops := []func(context.Context){f.pingLoop, f.syncLoop, f.claimLoop, f.joinLoop, f.configurationLoop, f.watchLoop, f.vmListLoop}
 	for _, loop := range loops {
 		group.Go(func() error {
 			loop(ctx)
@@ -168,14 +175,14 @@
 	return errors.Wrap(err, "fleet")
 }
 
-// unlockAfter runs change under mu, publishes the view if anything changed, and
-// hands out the events once mu is released.
-func (f *Fleet) unlockAfter(change func()) {
+// update calls change while holding mu and publishes a new view if anything
+// changed. It emits the queued events after releasing mu.
+func (f *Fleet) update(change func()) {
 	f.mu.Lock()
 	change()
-	f.publish()
-	events := f.pending
-	f.pending = nil
+	f.publishView()
+	events := f.pendingEvents
+	f.pendingEvents = nil
 	f.mu.Unlock()
 	for _, e := range events {
 		f.log.WithField("subject", e.subject).WithField("detail", e.detail).Info(e.kind)
@@ -185,28 +192,29 @@
 	}
 }
 
-// note keeps an event until mu is released. The caller holds mu.
-func (f *Fleet) note(kind, subject, detail string) {
-	f.pending = append(f.pending, event{kind, subject, detail})
+// queueEvent queues an event, which update emits after releasing mu. The caller
+// holds mu.
+func (f *Fleet) queueEvent(kind, subject, detail string) {
+	f.pendingEvents = append(f.pendingEvents, event{kind, subject, detail})
 }
 
-// Index is the configuration in force, nil when there is none.
+// Index returns the configuration in force, or nil.
 func (f *Fleet) Index() *config.Index {
 	return f.view.Load().index
 }
 
-// Self is this node's own entry.
+// Self returns this node's own entry.
 func (f *Fleet) Self() Member {
 	return f.view.Load().self
 }
 
-// Members returns every member that is not gone, this node included.
+// Members returns all members that are not gone, including this node.
 func (f *Fleet) Members() []Member {
 	return f.view.Load().members
 }
 
-// Ready reports whether this node takes requests of callers, and if not, why.
-// A node that is not ready still answers the requests that reach it.
+// Ready reports whether this node is ready for requests of callers, and if not, the
+// reason. A node that is not ready still answers requests.
 func (f *Fleet) Ready() (bool, string) {
 	v := f.view.Load()
 	switch {
@@ -214,7 +222,7 @@
 		return false, "the node is shutting down"
 	case v.index == nil:
 		return false, "no configuration is in force"
-	case f.waitsAlone():
+	case f.isJoiningAlone():
 		return false, "no other node has answered yet"
 	}
 	dc := v.index.DataCentres[v.self.DataCentre]
@@ -237,15 +245,15 @@
 	return f.view.Load().watcher
 }
 
-// jitter returns d spread evenly between half and one and a half of it, so that
-// nodes that started or failed together do not act together.
+// jitter returns a random duration between d/2 and 3d/2. Without jitter, nodes that
+// start or fail together would act at the same time.
 func (f *Fleet) jitter(d time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return d/2 + time.Duration(f.rng.Int64N(int64(d)+1))
 }
 
-// wake puts a token into a channel of one.
+// wake adds a token to a channel of capacity 1, unless the channel is full.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/node/fleet/join.go
+++ b/node/fleet/join.go
@@ -11,84 +11,85 @@
 )
 
 const (
-	// joinPatience is how long a newcomer that cannot meet the others goes on as if
-	// it were about to. After that they are lost or cut off, and it serves what it
-	// can.
-	joinPatience = joinSpread
-	// seedInterval is the mean time between two tries at the seeds that are no
+	// joinTimeLimit is how long a new boot waits for other nodes to answer its
+	// join. Then it treats them as lost or partitioned and serves what it can.
+	joinTimeLimit = joinPropagation
+	// seedRetryInterval is the mean time between two joins of seeds that are not
 	// members.
-	seedInterval = 15 * time.Second
-	// firstSync is the mean time after which a newcomer takes over a member's whole
-	// table again; it doubles up to syncInterval.
-	firstSync = 5 * time.Second
+	seedRetryInterval = 15 * time.Second
+	// initialSyncInterval is the mean time until a new boot first requests a full
+	// member table again. The interval doubles up to syncInterval.
+	initialSyncInterval = 5 * time.Second
 )
 
-// newcomer is what a boot that has just started knows of its introduction.
+// joinState is the progress of the join of a new boot.
 //
 // Two nodes of one data centre that start together and join through different
-// members do not know each other at first. Each would take itself for the only
-// owner of a cold replica, which falls over under both. So a newcomer exchanges
-// whole tables with its seeds and with the members that it learns of before it
-// claims anything: of two newcomers that meet the same member, the later one
-// learns of the earlier, and needs its consent from then on.
-type newcomer struct {
-	// met holds the addresses of the peers that have answered a join.
-	met map[string]bool
-	// introduced is set once all are met, or nobody else is known.
-	introduced bool
+// members have no record of each other at first. Both could claim the same cold
+// replica and overload it. A new boot therefore exchanges full tables with its
+// seeds and with the members in them before it claims replicas. When two new boots
+// join the same member, the later one receives a record of the earlier one and then
+// needs its consent.
+type joinState struct {
+	// answered holds the addresses of the peers that answered a join.
+	answered map[string]bool
+	// complete is set when joining has ended, see joinLoop.
+	complete bool
 }
 
-// joinLoop introduces this node, then goes on trying the seeds that are no
-// members: two parts of the fleet that never met would otherwise stay apart
-// while the platform's VM list cannot be had.
+// joinLoop joins other nodes, and afterwards periodically joins seeds that are not
+// members. Otherwise two parts of the fleet that never joined each other would stay
+// separate while the platform's VM list is unavailable.
 func (f *Fleet) joinLoop(ctx context.Context) {
-	// The first round of start joins peers as well.
+	// The first round of configurationLoop joins peers too.
 	select {
 	case <-ctx.Done():
 		return
-	case <-f.begun:
+	case <-f.firstStartRound:
 	}
 	retry := startRetry
-	for !f.introduce(ctx) && f.isAwaited() {
+	for !f.joinPeers(ctx) && f.mustRetryJoin() {
 		if !work.Sleep(ctx, f.jitter(retry)) {
 			return
 		}
 		retry = min(2*retry, maxStartRetry)
 	}
-	f.unlockAfter(func() { f.newcomer = newcomer{introduced: true} })
-	for work.Sleep(ctx, f.jitter(seedInterval)) {
-		if addr, ok := f.strangeSeed(); ok {
+	f.update(func() { f.joinState = joinState{complete: true} })
+	for work.Sleep(ctx, f.jitter(seedRetryInterval)) {
+		if addr, ok := f.randomUnknownSeed(); ok {
 			f.join(ctx, addr)
 		}
 	}
 }
 
-// introduce meets peers until a round brings nobody new. It returns false while
-// some that have to be met do not answer.
-func (f *Fleet) introduce(ctx context.Context) bool {
+// joinPeers joins peers in rounds until no new peer answers, and reports whether
+// the join is complete. It is complete when no peers remain and another member or
+// the platform is reachable. It is also complete when there is another member and
+// none of the remaining peers is an expected peer.
+func (f *Fleet) joinPeers(ctx context.Context) bool {
 	for {
-		unmet := f.unmet(f.knownAddresses(ctx))
-		if len(unmet) == 0 {
-			return f.metAnybody() || f.platformUp.Load()
+		peersToJoin := f.peersToJoin(f.candidateAddresses(ctx))
+		if len(peersToJoin) == 0 {
+			return f.hasOtherMembers() || f.platformUp.Load()
 		}
-		if f.joinAll(ctx, unmet) == 0 {
-			return f.metAnybody() && !f.awaited(unmet)
+		if f.joinAll(ctx, peersToJoin) == 0 {
+			return f.hasOtherMembers() && !f.includesExpectedPeer(peersToJoin)
 		}
 	}
 }
 
-// isAwaited reports whether this node goes on looking for peers at the pace of a
-// start: it is alone, or has not looked for long.
-func (f *Fleet) isAwaited() bool {
-	if !f.metAnybody() {
+// mustRetryJoin reports whether joinLoop retries the join: this node has no other
+// member, or joinTimeLimit has not passed.
+func (f *Fleet) mustRetryJoin() bool {
+	if !f.hasOtherMembers() {
 		return true
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.isNewcomer(time.Now())
+	return f.isJoining(time.Now())
 }
 
-// joinAll joins all addresses at once and counts those that answered.
+// joinAll joins all addresses concurrently and returns the number of answers.
 func (f *Fleet) joinAll(ctx context.Context, addrs []string) int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -107,30 +108,31 @@
 	return answered
 }
 
-// unmet returns the addresses that have not answered a join, those of this node's
-// data centre first, and no more than a newcomer has to meet.
-func (f *Fleet) unmet(addrs []string) []string {
+// peersToJoin returns the addresses that have not answered a join, those of this
+// node's data centre first. It returns all addresses of this data centre, and
+// others until maxStartPeers peers have answered.
+func (f *Fleet) peersToJoin(addrs []string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	left := startPeers - len(f.newcomer.met)
-	home := f.addressesAt(f.table.Self().DataCentre)
+	remaining := maxStartPeers - len(f.joinState.answered)
+	local := f.peerAddressesIn(f.table.Self().DataCentre)
 	var near, far []string
 	for _, addr := range addrs {
 		switch {
-		case f.newcomer.met[addr]:
-		case home[addr]:
+		case f.joinState.answered[addr]:
+		case local[addr]:
 			near = append(near, addr)
 		default:
 			far = append(far, addr)
 		}
 	}
 	all := append(near, far...)
-	return all[:min(max(left, len(near)), len(all))]
+	return all[:min(max(remaining, len(near)), len(all))]
 }
 
-// addressesAt returns the peer addresses of a data centre's members. The caller
+// peerAddressesIn returns the peer addresses of a data centre's members. The caller
 // holds mu.
-func (f *Fleet) addressesAt(dataCentre string) map[string]bool {
+func (f *Fleet) peerAddressesIn(dataCentre string) map[string]bool {
 	addrs := make(map[string]bool)
 	for _, m := range f.table.Members() {
 		if m.DataCentre == dataCentre {
@@ -140,68 +142,69 @@
 	return addrs
 }
 
-// awaited reports whether any of the addresses is a seed's or a living member's.
-// What only the platform's list names may be long gone.
-func (f *Fleet) awaited(addrs []string) bool {
-	wanted := make(map[string]bool)
+// includesExpectedPeer reports whether any of the addresses belongs to a seed or to
+// an alive member. The other addresses belong to members that are not alive, or
+// come from the platform's VM list, which may be outdated.
+func (f *Fleet) includesExpectedPeer(addrs []string) bool {
+	expected := make(map[string]bool)
 	for _, seed := range f.opts.Settings.GetSeeds() {
-		wanted[seed] = true
+		expected[seed] = true
 	}
 	for _, m := range f.Members() {
 		if m.State == pb.MemberState_MEMBER_STATE_ALIVE {
-			wanted[m.PeerAddress] = true
+			expected[m.PeerAddress] = true
 		}
 	}
 	for _, addr := range addrs {
-		if wanted[addr] {
+		if expected[addr] {
 			return true
 		}
 	}
 	return false
 }
 
-// metAnybody reports whether another node is known that is not gone.
-func (f *Fleet) metAnybody() bool {
+// hasOtherMembers reports whether the table has another member that is not gone.
+func (f *Fleet) hasOtherMembers() bool {
 	return len(f.Members()) > 1
 }
 
-// waitsAlone reports whether this node knows nobody and may still meet others.
-// Callers would get from it what its own data centre holds, while the whole fleet
-// runs.
-func (f *Fleet) waitsAlone() bool {
+// isJoiningAlone reports whether this node is joining and has no other member yet.
+// Its answers would come only from the replicas of its own data centre, although
+// the rest of the fleet is running.
+func (f *Fleet) isJoiningAlone() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.isNewcomer(time.Now()) && len(f.table.Members()) == 1
+	return f.isJoining(time.Now()) && len(f.table.Members()) == 1
 }
 
-// isNewcomer reports whether this node still has to meet the others. The caller
-// holds mu.
-func (f *Fleet) isNewcomer(now time.Time) bool {
-	return !f.newcomer.introduced && now.Sub(f.since) < joinPatience
+// isJoining reports whether the join of this boot is in progress. The caller holds
+// mu.
+func (f *Fleet) isJoining(now time.Time) bool {
+	return !f.joinState.complete && now.Sub(f.joinedAt) < joinTimeLimit
 }
 
-// strangeSeed returns a seed at whose address no member is known.
-func (f *Fleet) strangeSeed() (string, bool) {
+// randomUnknownSeed returns a random seed whose address belongs to no member.
+func (f *Fleet) randomUnknownSeed() (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known := map[string]bool{f.opts.Settings.GetPeerAddress(): true}
 	for _, m := range f.table.Members() {
 		known[m.PeerAddress] = true
 	}
-	var strange []string
+	var unknown []string
 	for _, seed := range f.opts.Settings.GetSeeds() {
 		if !known[seed] {
-			strange = append(strange, seed)
+			unknown = append(unknown, seed)
 		}
 	}
-	if len(strange) == 0 {
+	if len(unknown) == 0 {
 		return "", false
 	}
-	return strange[f.rng.IntN(len(strange))], true
+	return unknown[f.rng.IntN(len(unknown))], true
 }
 
-// join asks a peer for its whole table. It returns what the peer has in force
-// and whether it answered.
+// join requests the full member table of a peer. It returns the envelope of the
+// response, and whether the peer answered.
 func (f *Fleet) join(ctx context.Context, addr string) (*pb.Envelope, bool) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
@@ -211,10 +214,10 @@
 	}
 	env := resp.GetEnvelope()
 	id := membership.ID{Name: env.GetSender(), Boot: env.GetBoot()}
-	f.unlockAfter(func() {
+	f.update(func() {
 		f.table.PingAnswered(time.Now(), id, addr)
-		if !f.newcomer.introduced {
-			f.newcomer.met[addr] = true
+		if !f.joinState.complete {
+			f.joinState.answered[addr] = true
 		}
 	})
 	return env, true
--- a/node/fleet/membership_test.go
+++ b/node/fleet/membership_test.go
@@ -9,19 +9,19 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// The other nodes get no answer from a paused VM and give it no work for a
-// while. On waking it still has the old view. It hears that it counts as dead,
-// raises its incarnation, and is a member again without a restart.
-func TestNodePausedPastEveryTimeoutComesBack(t *testing.T) {
+// A node that is paused until the other nodes mark it dead must become alive again
+// after it resumes. It receives its own state, increases its incarnation and
+// refutes the state without a restart.
+func TestDeadNodeIsAliveAgainAfterResume(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
-		nodes := w.startEight(sheetOf(1))
+		c := newCluster(t)
+		nodes := c.startReadyFleet(testConfiguration(1))
 		nodes[3].pause()
 		others := append(append([]*testNode(nil), nodes[:3]...), nodes[4:]...)
-		t.Logf("not alive after %v", w.until(4*time.Second, "the others notice", allKnow(others, 7)))
+		t.Logf("marked not alive after %v", c.waitFor(4*time.Second, "the other nodes see 7 alive members", allSeeAlive(others, 7)))
 		time.Sleep(30 * time.Second)
 		nodes[3].resume()
-		t.Logf("back after %v", w.until(10*time.Second, "all nodes know each other again", allKnow(nodes, 8)))
+		t.Logf("alive again after %v", c.waitFor(10*time.Second, "all nodes see 8 alive members again", allSeeAlive(nodes, 8)))
 		for _, m := range nodes[0].Members() {
 			if m.State != pb.MemberState_MEMBER_STATE_ALIVE {
 				t.Fatalf("%+v", m)
@@ -30,30 +30,30 @@
 	})
 }
 
-// Two data centres lose the other two. Each side stops waiting for the other
-// within two seconds and keeps its owners. When the network heals no owner of
-// either side changes for a moment, and nobody is stormed with pulls.
-func TestPartitionIsNoticedAndHeals(t *testing.T) {
+// Each side of a partition must detect it within two seconds and keep its own
+// owners. When the partition ends, ownership within a side must not change
+// temporarily, and nodes must not pull excessively.
+func TestPartitionIsDetectedAndHealsWithoutOwnershipChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
-		nodes := w.startEight(sheetOf(1))
-		w.split(func(a, b *testNode) bool { return (a.dc < "c") != (b.dc < "c") })
-		t.Logf("noticed after %v", w.until(2*time.Second, "each side sees itself only", allKnow(nodes, 4)))
-		w.cutPlatform(nodes[4:])
-		w.publish(sheetOf(2))
-		w.until(2*time.Second, "version 2 on the platform's side", allAt(nodes[:4], 2))
+		c := newCluster(t)
+		nodes := c.startReadyFleet(testConfiguration(1))
+		c.partition(func(a, b *testNode) bool { return (a.dc < "c") != (b.dc < "c") })
+		t.Logf("detected after %v", c.waitFor(2*time.Second, "each side sees only its own members as alive", allSeeAlive(nodes, 4)))
+		c.disconnectFromPlatform(nodes[4:])
+		c.publish(testConfiguration(2))
+		c.waitFor(2*time.Second, "version 2 on the side with the platform", allAtVersion(nodes[:4], 2))
 		time.Sleep(5 * time.Minute)
-		if !allAt(nodes[4:], 1)() {
+		if !allAtVersion(nodes[4:], 1)() {
 			t.Fatal("a change crossed the partition")
 		}
-		w.split(nil)
-		healed := w.until(10*time.Second, "all nodes know each other", func() bool {
+		c.partition(nil)
+		healed := c.waitFor(10*time.Second, "all nodes see 8 alive members", func() bool {
 			for _, n := range nodes {
 				if got := len(n.view.Load().candidates[n.dc]); got != 2 {
-					t.Fatalf("node %s moved ownership of its own side to %d nodes", n.name, got)
+					t.Fatalf("node %s has %d candidates in its data centre, want 2", n.name, got)
 				}
 			}
-			return allKnow(nodes, 8)() && allAt(nodes, 2)()
+			return allSeeAlive(nodes, 8)() && allAtVersion(nodes, 2)()
 		})
 		t.Logf("healed after %v", healed)
 		for _, n := range nodes[4:] {
@@ -64,23 +64,24 @@
 	})
 }
 
-// A call to a peer fails. The peer is pinged at once, not when its turn comes.
-func TestFailedCallHasThePeerPinged(t *testing.T) {
+// After a failed call, the peer must be pinged immediately instead of at its turn.
+func TestFailedCallTriggersImmediatePing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
-		w.pingIntervalMs = 4000
-		w.publish(sheetOf(1))
-		nodes := w.fleetOfEight()
-		w.until(30*time.Second, "all nodes know each other", allKnow(nodes, 8))
+		c := newCluster(t)
+		c.pingIntervalMs = 4000
+		c.publish(testConfiguration(1))
+		nodes := c.startEightNodes()
+		c.waitFor(30*time.Second, "all nodes see 8 alive members", allSeeAlive(nodes, 8))
 		nodes[7].kill()
 		nodes[0].ReportCallFailure("7")
-		took := w.until(500*time.Millisecond, "suspected", allKnow(nodes[:1], 7))
+		took := c.waitFor(500*time.Millisecond, "node 7 is not alive", allSeeAlive(nodes[:1], 7))
 		t.Logf("suspected after %v", took)
 	})
 }
 
-// Messages of another fleet, another protocol or without bounds are refused.
-func TestForeignMessagesAreRefused(t *testing.T) {
+// Messages of another fleet, of another protocol version or with too many changes
+// must be rejected.
+func TestMismatchedOrOversizedMessagesAreRejected(t *testing.T) {
 	f := New(Options{Settings: &pb.Settings{Node: "0", Fleet: "test"}})
 	env := f.Envelope()
 	env.Fleet = "other"
@@ -100,14 +101,13 @@
 		t.Fatal(err)
 	}
 	if got := f.Stats().Refused; got != 3 {
-		t.Fatalf("%d refused", got)
+		t.Fatalf("%d messages rejected, want 3", got)
 	}
 }
 
-// A VM was cut off until the platform no longer listed it, and others took over
-// what it held. It learns of that, and goes on under a new boot that holds
-// nothing.
-func TestNodeCalledGoneRejoinsAsANewBoot(t *testing.T) {
+// A node whose boot was marked gone must rejoin with a new boot number. Other nodes
+// may have taken over the replicas of the old boot.
+func TestNodeMarkedGoneRejoinsWithNewBoot(t *testing.T) {
 	f := New(Options{Settings: &pb.Settings{Node: "0", Fleet: "test"}, Boot: 1})
 	env := f.Envelope()
 	gone := f.Self().Change()
@@ -121,20 +121,19 @@
 	}
 }
 
-// Two parts of the fleet started from seeds that do not know each other. The
-// platform's VM list names nodes that one part has never heard of, which is
-// enough for the parts to meet.
-func TestPartsThatNeverMetFindEachOther(t *testing.T) {
+// Two parts of the fleet that started from separate seeds must merge when the
+// platform's VM list names nodes of the other part.
+func TestSeparateFleetPartsMergeThroughVMList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
-		w.publish(sheetOf(1))
-		w.setPlatformDown(true)
+		c := newCluster(t)
+		c.publish(testConfiguration(1))
+		c.setPlatformDown(true)
 		var nodes []*testNode
 		for i := range 8 {
-			nodes = append(nodes, w.start(nodesName(i), string(rune('a'+i/2)), "10.0.0."+nodesName(i/4*4)))
+			nodes = append(nodes, c.start(nodeName(i), string(rune('a'+i/2)), "10.0.0."+nodeName(i/4*4)))
 		}
-		w.until(10*time.Second, "each part knows itself", allKnow(nodes, 4))
-		w.setPlatformDown(false)
-		t.Logf("met after %v", w.until(40*time.Second, "all nodes know each other", allKnow(nodes, 8)))
+		c.waitFor(10*time.Second, "each part sees its own 4 members as alive", allSeeAlive(nodes, 4))
+		c.setPlatformDown(false)
+		t.Logf("merged after %v", c.waitFor(40*time.Second, "all nodes see 8 alive members", allSeeAlive(nodes, 8)))
 	})
 }
--- a/node/fleet/ping.go
+++ b/node/fleet/ping.go
@@ -11,7 +11,8 @@
 	"github.com/carobmill/carobmill/policy/ownership"
 )
 
-// pingLoop pings one member in turn, at once when one was urged.
+// pingLoop pings one member per interval, or immediately if a priority ping is
+// queued.
 func (f *Fleet) pingLoop(ctx context.Context) {
 	slots := make(chan struct{}, maxProbes)
 	for {
@@ -27,7 +28,7 @@
 		now := time.Now()
 		var target Member
 		var found bool
-		f.unlockAfter(func() {
+		f.update(func() {
 			f.table.Tick(now)
 			target, found = f.table.NextTarget()
 		})
@@ -42,30 +43,30 @@
 			})
 		default:
 		}
-		f.hurry(ctx)
+		f.schedulePriorityPing(ctx)
 	}
 }
 
-// hurry wakes the loop again, after a short pause, while members are to be
-// pinged at once.
-func (f *Fleet) hurry(ctx context.Context) {
+// schedulePriorityPing wakes the ping loop after priorityPingSpacing if a priority
+// ping is queued.
+func (f *Fleet) schedulePriorityPing(ctx context.Context) {
 	f.mu.Lock()
-	urgent := f.table.HasPriorityPing()
+	hasPriority := f.table.HasPriorityPing()
 	f.mu.Unlock()
-	if urgent && work.Sleep(ctx, urgentSpacing) {
+	if hasPriority && work.Sleep(ctx, priorityPingSpacing) {
 		wake(f.pingWake)
 	}
 }
 
-// probe pings a member directly, then through helpers.
+// probe pings a member directly, and then indirectly if it does not answer.
 func (f *Fleet) probe(ctx context.Context, target Member) {
 	if f.ping(ctx, target) {
 		return
 	}
-	if f.pingThroughHelpers(ctx, target) || ctx.Err() != nil {
+	if f.pingIndirectly(ctx, target) || ctx.Err() != nil {
 		return
 	}
-	f.unlockAfter(func() { f.table.PingFailed(time.Now(), target.ID()) })
+	f.update(func() { f.table.PingFailed(time.Now(), target.ID()) })
 }
 
 // ping sends one direct ping and reports whether the target answered.
@@ -73,72 +74,72 @@
 	ctx, cancel := context.WithTimeout(ctx, f.timing.pingTimeout)
 	defer cancel()
 	f.stats.pings.Add(1)
-	env, news := f.pingEnvelope(target.ID())
+	env, queued := f.pingEnvelope(target.ID())
 	resp, err := f.opts.Peers.Gossip(ctx, target.PeerAddress, &pb.GossipRequest{Envelope: env})
 	if err != nil {
-		f.unsent(news)
+		f.markUnsent(queued)
 		return false
 	}
 	if f.Receive(resp.GetEnvelope()) != nil {
 		return false
 	}
 	id := membership.ID{Name: resp.GetEnvelope().GetSender(), Boot: resp.GetEnvelope().GetBoot()}
-	f.unlockAfter(func() { f.table.PingAnswered(time.Now(), id, target.PeerAddress) })
+	f.update(func() { f.table.PingAnswered(time.Now(), id, target.PeerAddress) })
 	if target.State == pb.MemberState_MEMBER_STATE_DEAD && id == target.ID() {
-		f.rejoinAfterPartition(ctx, target)
+		f.syncAfterPartition(ctx, target)
 	}
 	return id == target.ID()
 }
 
-// rejoinAfterPartition takes over the whole table of a member that was dead and
-// answers again: the news of its side of a partition was passed on there only.
-func (f *Fleet) rejoinAfterPartition(ctx context.Context, target Member) {
+// syncAfterPartition requests the full table of a dead member that answers again.
+// During a partition, changes on its side were sent to members on that side only.
+func (f *Fleet) syncAfterPartition(ctx context.Context, target Member) {
 	now := time.Now()
 	f.mu.Lock()
-	due := now.Sub(f.joined) >= joinInterval
-	if due {
-		f.joined = now
+	syncAllowed := now.Sub(f.lastFullSync) >= partitionSyncInterval
+	if syncAllowed {
+		f.lastFullSync = now
 	}
 	f.mu.Unlock()
-	if due {
+	if syncAllowed {
 		f.join(context.WithoutCancel(ctx), target.PeerAddress)
 	}
 }
 
-// syncLoop takes over the whole table of a random member now and then, a newcomer
-// more often: of two that do not know each other, each depends on news that may
-// have been passed on everywhere else.
+// syncLoop periodically requests the full table of a random member. The interval is
+// shorter for a new boot: two nodes without a record of each other may have missed
+// the gossip about each other.
 func (f *Fleet) syncLoop(ctx context.Context) {
-	for interval := firstSync; work.Sleep(ctx, f.jitter(interval)); interval = min(2*interval, syncInterval) {
+	for interval := initialSyncInterval; work.Sleep(ctx, f.jitter(interval)); interval = min(2*interval, syncInterval) {
 		f.mu.Lock()
-		some := f.table.Helpers(f.table.Self().ID(), 1)
+		peers := f.table.Helpers(f.table.Self().ID(), 1)
 		f.mu.Unlock()
-		for _, m := range some {
+		for _, m := range peers {
 			f.join(ctx, m.PeerAddress)
 		}
 	}
 }
 
-// pingThroughHelpers has other members ping the target, all at once.
-func (f *Fleet) pingThroughHelpers(ctx context.Context, target Member) bool {
+// pingIndirectly asks several members to ping the target, concurrently.
+func (f *Fleet) pingIndirectly(ctx context.Context, target Member) bool {
 	f.mu.Lock()
-	via := f.table.Helpers(target.ID(), helpers)
+	helpers := f.table.Helpers(target.ID(), indirectPingHelpers)
 	f.mu.Unlock()
-	// A helper waits for the target as long as this node did, and its answer has
-	// to come back.
+	// The helper waits up to pingTimeout for the target, then its response needs
+	// time to arrive.
 	ctx, cancel := context.WithTimeout(ctx, 2*f.timing.pingTimeout)
 	defer cancel()
-	answers := make(chan bool, len(via))
+	answers := make(chan bool, len(helpers))
 	var wg sync.WaitGroup
-	for _, helper := range via {
+	for _, helper := range helpers {
 		wg.Go(func() {
-			env, news := f.pingEnvelope(helper.ID())
+			env, queued := f.pingEnvelope(helper.ID())
 			resp, err := f.opts.Peers.Gossip(ctx, helper.PeerAddress, &pb.GossipRequest{
 				Envelope: env,
 				Target:   target.Name,
 			})
 			if err != nil {
-				f.unsent(news)
+				f.markUnsent(queued)
 			}
 			ok := err == nil && f.Receive(resp.GetEnvelope()) == nil && resp.GetAcknowledged()
 			if ok {
@@ -157,8 +158,8 @@
 	return false
 }
 
-// HandleGossip answers a ping, a request to ping a third member, or a node that
-// joins. The error is one of Receive's.
+// HandleGossip answers a ping, an indirect ping request, a join, or a message with
+// claims and releases. The errors are those of Receive.
 func (f *Fleet) HandleGossip(ctx context.Context, req *pb.GossipRequest) (*pb.GossipResponse, error) {
 	if err := f.Receive(req.GetEnvelope()); err != nil {
 		return nil, err
@@ -167,13 +168,13 @@
 	resp := &pb.GossipResponse{Acknowledged: true}
 	claimant := ownership.Node{Name: sender.Name, Boot: sender.Boot}
 	if len(req.GetReleases()) > 0 {
-		f.takeBack(claimant, req.GetClaimRound(), req.GetReleases())
+		f.endGrants(claimant, req.GetClaimRound(), req.GetReleases())
 	}
 	if len(req.GetClaims()) > 0 {
-		resp.Granted = f.grant(claimant, req.GetClaimRound(), req.GetClaims())
+		resp.Granted = f.grantClaims(claimant, req.GetClaimRound(), req.GetClaims())
 	}
 	if req.GetTarget() != "" {
-		resp.Acknowledged = f.pingFor(ctx, req.GetTarget())
+		resp.Acknowledged = f.pingOnBehalf(ctx, req.GetTarget())
 	}
 	if req.GetJoin() {
 		f.mu.Lock()
@@ -181,12 +182,13 @@
 		f.mu.Unlock()
 		return resp, nil
 	}
-	resp.Envelope = f.answerEnvelope(sender, req.GetTarget())
+	resp.Envelope = f.responseEnvelope(sender, req.GetTarget())
 	return resp, nil
 }
 
-// pingFor pings a member for another one. A name that is not known is not there.
-func (f *Fleet) pingFor(ctx context.Context, name string) bool {
+// pingOnBehalf pings a member for another node. It returns false if no member has
+// that name.
+func (f *Fleet) pingOnBehalf(ctx context.Context, name string) bool {
 	f.mu.Lock()
 	targets := f.table.ByName(name)
 	f.mu.Unlock()
@@ -198,28 +200,28 @@
 	return false
 }
 
-// ReportCallFailure says that a call to a peer failed, which has the peer pinged at
-// once. The failed call alone proves too little: a single connection may be
-// broken.
+// ReportCallFailure reports a failed call to a peer, which is then pinged
+// immediately. The failure alone does not change the peer's state, because only a
+// single connection may be broken.
 func (f *Fleet) ReportCallFailure(node string) {
 	f.mu.Lock()
 	f.table.PrioritisePing(node)
-	urgent := f.table.HasPriorityPing()
+	hasPriority := f.table.HasPriorityPing()
 	f.mu.Unlock()
-	if urgent {
+	if hasPriority {
 		wake(f.pingWake)
 	}
 }
 
-// Leave announces that this node shuts down, and tells several members itself:
-// they stop sending new work before the node stops taking it.
+// Leave announces that this node is shutting down. It notifies several members
+// directly, so that they stop sending new work before the node stops accepting it.
 func (f *Fleet) Leave(ctx context.Context) {
-	f.unlockAfter(f.table.Leave)
-	f.tellSome(ctx)
+	f.update(f.table.Leave)
+	f.announceSelf(ctx)
 }
 
-// IsLastInDataCentre reports whether no other node of this node's data centre is alive: when
-// this one leaves, nobody takes over its replicas.
+// IsLastInDataCentre reports whether no other node of this node's data centre is
+// alive. No node takes over the replicas of such a node when it leaves.
 func (f *Fleet) IsLastInDataCentre() bool {
 	v := f.view.Load()
 	for _, m := range v.candidates[v.self.DataCentre] {
@@ -230,27 +232,28 @@
 	return true
 }
 
-// FinishLeave announces that this node has finished its work. Call it last: what the
-// node held passes to others at once.
+// FinishLeave announces that this node has finished its work. Call it last, because
+// other nodes take over its replicas immediately.
 func (f *Fleet) FinishLeave(ctx context.Context) {
-	f.unlockAfter(f.table.FinishLeave)
-	f.tellSome(ctx)
+	f.update(f.table.FinishLeave)
+	f.announceSelf(ctx)
 }
 
-func (f *Fleet) tellSome(ctx context.Context) {
+func (f *Fleet) announceSelf(ctx context.Context) {
 	f.mu.Lock()
-	told := f.table.Helpers(f.table.Self().ID(), leaveFanOut)
+	recipients := f.table.Helpers(f.table.Self().ID(), leaveFanOut)
 	self := f.table.Self()
 	f.mu.Unlock()
 	var wg sync.WaitGroup
-	for _, m := range told {
+	for _, m := range recipients {
 		wg.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, f.timing.pingTimeout)
 			defer cancel()
 			f.mu.Lock()
 			env := f.envelope([]*pb.MemberChange{self.Change()})
 			f.mu.Unlock()
-			// A member that misses this hears it from another one.
+			// A member that does not receive this message receives the change by
+			// gossip.
 			_, _ = f.opts.Peers.Gossip(ctx, m.PeerAddress, &pb.GossipRequest{Envelope: env})
 		})
 	}
--- a/node/fleet/platform.go
+++ b/node/fleet/platform.go
@@ -12,14 +12,16 @@
 	"github.com/carobmill/carobmill/policy/membership"
 )
 
-// watchLoop keeps one long poll open while this node is a watcher. Other nodes
-// read the key rarely, in case that every watcher is cut off from the platform.
+// watchLoop keeps one long poll open while this node is a watcher. Other nodes poll
+// the key at the slow-poll interval, in case all watchers are partitioned from the
+// platform.
 func (f *Fleet) watchLoop(ctx context.Context) {
 	var after uint64
 	retry := platformRetry
 	for ctx.Err() == nil {
-		if f.version() == 0 {
-			// The start reads the platform itself.
+		if f.configVersion() == 0 {
+			// configurationLoop reads the platform until a configuration is in
+			// force.
 			work.Sleep(ctx, f.jitter(startRetry))
 			continue
 		}
@@ -40,33 +42,34 @@
 	}
 }
 
-// watch runs one long poll and returns the revision to wait past next.
+// watch runs one long poll and returns the revision for the next one.
 func (f *Fleet) watch(ctx context.Context, after uint64) (uint64, error) {
-	began := time.Now()
+	start := time.Now()
 	f.stats.watches.Add(1)
-	bounded, cancel := context.WithTimeout(ctx, watchWait)
-	entry, err := f.opts.Platform.Watch(bounded, f.key, after)
-	ended := bounded.Err() != nil && ctx.Err() == nil
+	watchCtx, cancel := context.WithTimeout(ctx, watchTimeout)
+	entry, err := f.opts.Platform.Watch(watchCtx, f.key, after)
+	timedOut := watchCtx.Err() != nil && ctx.Err() == nil
 	cancel()
-	if ended {
+	if timedOut {
 		return f.readAfterWatch(ctx, after)
 	}
-	f.answered(err)
+	f.recordPlatformResult(err)
 	if err != nil {
 		return after, err
 	}
 	if !f.offerEntry(entry) {
-		// Nothing new: the platform answers from the past. It may do so at once
-		// each time, hence the spacing.
-		work.Sleep(ctx, watchSpacing-time.Since(began))
+		// The entry has no newer configuration, for example because the platform
+		// returns outdated data. The platform may answer immediately each time, so
+		// the polls are spaced.
+		work.Sleep(ctx, minWatchSpacing-time.Since(start))
 	}
 	return entry.Revision, nil
 }
 
-// readAfterWatch reads the key after a long poll that brought nothing. It tells
-// silence from an outage. It also finds a change in a service that was restored
-// from a backup and counts revisions from a lower number: a watch past the old
-// number would wait for good.
+// readAfterWatch reads the key after a long poll that timed out. The read shows
+// whether the platform is reachable. It also finds a change after the platform was
+// restored from a backup with a lower revision. A watch past the earlier revision
+// would not return such a change.
 func (f *Fleet) readAfterWatch(ctx context.Context, after uint64) (uint64, error) {
 	entry, err := f.readEntry(ctx)
 	if err != nil {
@@ -76,14 +79,14 @@
 	return entry.Revision, nil
 }
 
-// offerEntry puts the configuration of an entry in force if it is newer.
+// offerEntry puts the configuration of an entry in force if its version is higher.
 func (f *Fleet) offerEntry(entry Entry) bool {
-	raw, err := decode(entry)
+	raw, err := decodeConfiguration(entry)
 	if err != nil {
-		f.unlockAfter(func() { f.note("configuration refused", f.key, err.Error()) })
+		f.update(func() { f.queueEvent("configuration refused", f.key, err.Error()) })
 		return false
 	}
-	return f.offer(raw, "the platform")
+	return f.offerConfiguration(raw, "the platform")
 }
 
 func (f *Fleet) slowPoll(ctx context.Context) error {
@@ -95,79 +98,79 @@
 	}
 	raw, err := f.readConfiguration(ctx)
 	if raw != nil {
-		f.offer(raw, "the platform")
+		f.offerConfiguration(raw, "the platform")
 	}
 	return err
 }
 
-// readConfiguration reads the configuration that the platform holds.
+// readConfiguration reads the platform's configuration.
 func (f *Fleet) readConfiguration(ctx context.Context) (*pb.Configuration, error) {
 	entry, err := f.readEntry(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return decode(entry)
+	return decodeConfiguration(entry)
 }
 
-// readEntry reads the key once.
 func (f *Fleet) readEntry(ctx context.Context) (Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
 	f.stats.reads.Add(1)
 	entry, err := f.opts.Platform.Get(ctx, f.key)
-	f.answered(err)
+	f.recordPlatformResult(err)
 	return entry, err
 }
 
-func decode(entry Entry) (*pb.Configuration, error) {
+func decodeConfiguration(entry Entry) (*pb.Configuration, error) {
 	raw := &pb.Configuration{}
 	if err := proto.Unmarshal(entry.Value, raw); err != nil {
-		return nil, errors.Wrap(err, "damaged configuration in the platform")
+		return nil, errors.Wrap(err, "unmarshal configuration from the platform")
 	}
 	return raw, nil
 }
 
-// answered notes whether the platform answered, and records when that changes.
-func (f *Fleet) answered(err error) {
+// recordPlatformResult records whether the platform answered, and queues an event
+// when that changes.
+func (f *Fleet) recordPlatformResult(err error) {
 	up := err == nil || errors.Is(err, ErrNoConfiguration)
 	if f.platformUp.Swap(up) == up {
 		return
 	}
-	f.unlockAfter(func() {
+	f.update(func() {
 		if up {
-			f.note("platform reachable", f.key, "")
+			f.queueEvent("platform reachable", f.key, "")
 		} else {
-			f.note("platform unreachable", f.key, err.Error())
+			f.queueEvent("platform unreachable", f.key, err.Error())
 		}
 	})
 }
 
-// listLoop reads the VM list, which lags, now and then.
-func (f *Fleet) listLoop(ctx context.Context) {
+// vmListLoop periodically reads the VM list, which may be outdated.
+func (f *Fleet) vmListLoop(ctx context.Context) {
 	for {
-		interval := otherListInterval
+		interval := nonWatcherListInterval
 		if f.IsWatcher() {
 			interval = watcherListInterval
 		}
 		if !work.Sleep(ctx, f.jitter(interval)) {
 			return
 		}
-		list := f.readList(ctx)
+		list := f.readVMList(ctx)
 		if list == nil {
 			continue
 		}
-		f.unlockAfter(func() { f.table.ApplyVMList(time.Now(), list) })
-		f.joinStrangers(ctx, list)
+		f.update(func() { f.table.ApplyVMList(time.Now(), list) })
+		f.joinUnknownVM(ctx, list)
 	}
 }
 
-// readList returns nil when the platform does not answer.
-func (f *Fleet) readList(ctx context.Context) []membership.ListedVM {
+// readVMList returns nil if the platform does not answer.
+func (f *Fleet) readVMList(ctx context.Context) []membership.ListedVM {
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
 	f.stats.lists.Add(1)
 	list, err := f.opts.Platform.VMs(ctx)
-	f.answered(err)
+	f.recordPlatformResult(err)
 	if err != nil {
 		return nil
 	}
--- a/node/fleet/pull.go
+++ b/node/fleet/pull.go
@@ -10,15 +10,15 @@
 	"github.com/carobmill/carobmill/node/work"
 )
 
-// ErrBusy says that this node answers enough pulls already; the peer asks
-// another member.
+// ErrBusy reports that this node has reached its rate limit for pulls. The peer
+// then pulls from another member.
 var ErrBusy = errors.New("too many pulls at once")
 
-func versionText(version uint64) string {
+func formatVersion(version uint64) string {
 	return strconv.FormatUint(version, 10)
 }
 
-// pullLoop pulls the configuration whenever a peer has a higher one.
+// pullLoop pulls the configuration whenever a peer reports a higher version.
 func (f *Fleet) pullLoop(ctx context.Context) {
 	for {
 		select {
@@ -27,12 +27,12 @@
 		case <-f.pullWake:
 		}
 		retry := pullRetry
-		wait := f.jitter(pullSpread)
+		wait := f.jitter(pullDelay)
 		for {
 			if !work.Sleep(ctx, wait) {
 				return
 			}
-			sources := f.sources()
+			sources := f.pullSources()
 			if len(sources) == 0 {
 				break
 			}
@@ -41,14 +41,14 @@
 				retry = min(2*retry, maxPullRetry)
 				continue
 			}
-			wait, retry = f.jitter(pullSpread), pullRetry
+			wait, retry = f.jitter(pullDelay), pullRetry
 		}
 	}
 }
 
-// sources returns the addresses of members that said they hold a higher version,
-// those of this data centre first, each part in random order.
-func (f *Fleet) sources() []string {
+// pullSources returns the addresses of members that reported a higher version.
+// Members of this data centre come first. Each part is in random order.
+func (f *Fleet) pullSources() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	self := f.table.Self()
@@ -68,13 +68,14 @@
 	return append(near, far...)
 }
 
-// pullTries bounds the peers that one attempt asks before it waits.
-const pullTries = 2
+// maxPullSources is the maximum number of peers that one attempt pulls from.
+const maxPullSources = 2
 
-// pullFrom pulls from the first few peers until one gives a newer configuration.
+// pullFrom pulls from up to maxPullSources peers until one returns a newer
+// configuration.
 func (f *Fleet) pullFrom(ctx context.Context, addrs []string) bool {
 	for i, addr := range addrs {
-		if i == pullTries {
+		if i == maxPullSources {
 			return false
 		}
 		if f.pull(ctx, addr) {
@@ -90,16 +91,16 @@
 	f.stats.pulls.Add(1)
 	resp, err := f.opts.Peers.Pull(ctx, addr, &pb.PullConfigurationRequest{
 		Envelope:    f.Envelope(),
-		HaveVersion: f.version(),
+		HaveVersion: f.configVersion(),
 	})
 	if err != nil || f.Receive(resp.GetEnvelope()) != nil || resp.GetConfiguration() == nil {
 		return false
 	}
-	return f.offer(resp.GetConfiguration(), resp.GetEnvelope().GetSender())
+	return f.offerConfiguration(resp.GetConfiguration(), resp.GetEnvelope().GetSender())
 }
 
-// HandlePull answers with the configuration in force if it is higher than the
-// peer's. The error is one of Receive's or ErrBusy.
+// HandlePull returns the configuration in force if its version is higher than the
+// peer's. The errors are those of Receive, and ErrBusy.
 func (f *Fleet) HandlePull(_ context.Context, req *pb.PullConfigurationRequest) (*pb.PullConfigurationResponse, error) {
 	if err := f.Receive(req.GetEnvelope()); err != nil {
 		return nil, err
--- a/node/fleet/start.go
+++ b/node/fleet/start.go
@@ -13,15 +13,16 @@
 	"github.com/carobmill/carobmill/policy/membership"
 )
 
-// startThenPull gets a first configuration, then pulls newer ones from peers.
-func (f *Fleet) startThenPull(ctx context.Context) {
-	began := time.Now()
+// configurationLoop obtains the first configuration and then pulls newer ones from
+// peers.
+func (f *Fleet) configurationLoop(ctx context.Context) {
+	start := time.Now()
 	retry := startRetry
-	begin := sync.OnceFunc(func() { close(f.begun) })
-	for f.version() == 0 {
-		f.start(ctx, time.Since(began) >= startPatience)
-		begin()
-		if f.version() == 0 && !work.Sleep(ctx, f.jitter(retry)) {
+	endFirstRound := sync.OnceFunc(func() { close(f.firstStartRound) })
+	for f.configVersion() == 0 {
+		f.fetchConfiguration(ctx, time.Since(start) >= startQuorumTimeout)
+		endFirstRound()
+		if f.configVersion() == 0 && !work.Sleep(ctx, f.jitter(retry)) {
 			return
 		}
 		retry = min(2*retry, maxStartRetry)
@@ -29,40 +30,43 @@
 	f.pullLoop(ctx)
 }
 
-// start asks the platform and several peers for the configuration, both at once.
+// fetchConfiguration requests the configuration from the platform and from several
+// peers concurrently, and uses the highest version.
 //
-// The platform alone is not enough: after a failover it may answer from the
-// past, and a node that restarts on such an answer would put back in force what
-// it had already replaced. So the highest of all answers counts.
-func (f *Fleet) start(ctx context.Context, onlyWitness bool) {
+// The platform alone is not sufficient. After a failover it may return an outdated
+// version, and a restarted node would put that version back in force.
+//
+// If the platform cannot be reached, a version needs the quorum of
+// configstate.StartVersion, or a single peer if acceptSinglePeer is set.
+func (f *Fleet) fetchConfiguration(ctx context.Context, acceptSinglePeer bool) {
 	var wg sync.WaitGroup
-	var read *pb.Configuration
-	var readErr error
-	wg.Go(func() { read, readErr = f.readConfiguration(ctx) })
-	answers, known := f.askPeers(ctx)
+	var platformConfig *pb.Configuration
+	var platformErr error
+	wg.Go(func() { platformConfig, platformErr = f.readConfiguration(ctx) })
+	answers, peerCount := f.queryPeerVersions(ctx)
 	wg.Wait()
 	highest := configstate.Highest(answers)
 	switch {
-	case read != nil && read.GetVersion() >= highest:
-		f.offer(read, "the platform")
-	case read != nil || errors.Is(readErr, ErrNoConfiguration):
-		f.pullFrom(ctx, f.addresses(configstate.Sources(answers, highest)))
+	case platformConfig != nil && platformConfig.GetVersion() >= highest:
+		f.offerConfiguration(platformConfig, "the platform")
+	case platformConfig != nil || errors.Is(platformErr, ErrNoConfiguration):
+		f.pullFrom(ctx, f.addressesByName(configstate.Sources(answers, highest)))
 	default:
-		if onlyWitness {
-			known = 1
+		if acceptSinglePeer {
+			peerCount = 1
 		}
-		_, sources := configstate.StartVersion(answers, known)
-		f.pullFrom(ctx, f.addresses(sources))
+		_, sources := configstate.StartVersion(answers, peerCount)
+		f.pullFrom(ctx, f.addressesByName(sources))
 	}
 }
 
-// askPeers joins several peers and returns the versions that they hold, and how
-// many peers are known.
-func (f *Fleet) askPeers(ctx context.Context) ([]configstate.PeerVersion, int) {
-	addrs := f.knownAddresses(ctx)
-	known := len(addrs)
-	if len(addrs) > startPeers {
-		addrs = addrs[:startPeers]
+// queryPeerVersions joins several peers. It returns their configuration versions,
+// and the number of candidate addresses.
+func (f *Fleet) queryPeerVersions(ctx context.Context) ([]configstate.PeerVersion, int) {
+	addrs := f.candidateAddresses(ctx)
+	peerCount := len(addrs)
+	if len(addrs) > maxStartPeers {
+		addrs = addrs[:maxStartPeers]
 	}
 	var mu sync.Mutex
 	var answers []configstate.PeerVersion
@@ -79,12 +83,13 @@
 		})
 	}
 	wg.Wait()
-	return answers, known
+	return answers, peerCount
 }
 
-// knownAddresses returns the peers from the settings, the table and, while the
-// table is empty, the platform's VM list, in random order.
-func (f *Fleet) knownAddresses(ctx context.Context) []string {
+// candidateAddresses returns the peer addresses from the settings and the table, in
+// random order. While the table has no other member, it adds those of the
+// platform's VM list.
+func (f *Fleet) candidateAddresses(ctx context.Context) []string {
 	seen := map[string]bool{f.opts.Settings.GetPeerAddress(): true}
 	var addrs []string
 	add := func(addr string) {
@@ -100,7 +105,7 @@
 		add(m.PeerAddress)
 	}
 	if len(f.Members()) == 1 {
-		for _, vm := range f.readList(ctx) {
+		for _, vm := range f.readVMList(ctx) {
 			add(vm.PeerAddress)
 		}
 	}
@@ -110,8 +115,8 @@
 	return addrs
 }
 
-// addresses returns the peer addresses of members by name.
-func (f *Fleet) addresses(names []string) []string {
+// addressesByName returns the peer addresses of the named members.
+func (f *Fleet) addressesByName(names []string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var addrs []string
@@ -123,26 +128,27 @@
 	return addrs
 }
 
-// offer puts a configuration in force if it is newer.
-func (f *Fleet) offer(raw *pb.Configuration, from string) bool {
-	var verdict configstate.Outcome
-	f.unlockAfter(func() {
+// offerConfiguration puts a configuration in force if its version is higher, and
+// reports whether it did.
+func (f *Fleet) offerConfiguration(raw *pb.Configuration, from string) bool {
+	var outcome configstate.Outcome
+	f.update(func() {
 		var err error
-		verdict, err = f.state.Offer(raw)
-		switch verdict {
+		outcome, err = f.state.Offer(raw)
+		switch outcome {
 		case configstate.Accepted:
-			f.note("configuration in force", versionText(raw.GetVersion()), "from "+from)
+			f.queueEvent("configuration in force", formatVersion(raw.GetVersion()), "from "+from)
 		case configstate.Invalid:
-			f.note("configuration refused", versionText(raw.GetVersion()), "from "+from+": "+err.Error())
+			f.queueEvent("configuration refused", formatVersion(raw.GetVersion()), "from "+from+": "+err.Error())
 		case configstate.Stale:
 		}
 	})
-	return verdict == configstate.Accepted
+	return outcome == configstate.Accepted
 }
 
-// joinStrangers joins a VM that the platform lists and the table does not hold:
-// two parts of the fleet that never met would otherwise stay apart.
-func (f *Fleet) joinStrangers(ctx context.Context, list []membership.ListedVM) {
+// joinUnknownVM joins the first listed VM that is not in the table. Otherwise two
+// parts of the fleet that never joined each other would stay separate.
+func (f *Fleet) joinUnknownVM(ctx context.Context, list []membership.ListedVM) {
 	for _, vm := range list {
 		if vm.Name == f.Self().Name || vm.Leaving || vm.PeerAddress == "" {
 			continue
--- a/node/fleet/timing.go
+++ b/node/fleet/timing.go
@@ -7,7 +7,7 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// Defaults for settings that are unset.
+// Defaults for unset settings.
 const (
 	defaultPingInterval   = 200 * time.Millisecond
 	defaultPingTimeout    = 150 * time.Millisecond
@@ -16,73 +16,77 @@
 )
 
 const (
-	// helpers is the number of members that ping a target indirectly.
-	helpers = 3
-	// maxProbes bounds the pings under way, so that a partition that leaves half
-	// of them unanswered neither stops the others nor piles up.
+	// indirectPingHelpers is the number of members that ping a target indirectly.
+	indirectPingHelpers = 3
+	// maxProbes limits the pings in flight. During a partition, unanswered pings
+	// would otherwise accumulate. The limit leaves slots for pings to reachable
+	// members.
 	maxProbes = 64
-	// urgentSpacing is the least time between two pings.
-	urgentSpacing = 10 * time.Millisecond
-	// leaveFanOut is the number of members that a leaving node tells itself.
+	// priorityPingSpacing is the pause before each further priority ping.
+	priorityPingSpacing = 10 * time.Millisecond
+	// leaveFanOut is the number of members that a leaving node notifies directly.
 	leaveFanOut = 16
 
-	// startPeers is the number of peers that a starting node asks in one round.
-	startPeers = 12
-	// startPatience is how long a starting node that cannot reach the platform
-	// insists on a second witness.
-	startPatience = 3 * time.Second
-	startRetry    = 500 * time.Millisecond
-	maxStartRetry = 3 * time.Second
-	joinTimeout   = 500 * time.Millisecond
-	// joinInterval is the least time between two exchanges of whole tables.
-	joinInterval = time.Second
+	// maxStartPeers is the maximum number of peers that a starting node joins in
+	// one round.
+	maxStartPeers = 12
+	// startQuorumTimeout is how long a starting node that cannot reach the platform
+	// requires two peers to have reached a version. Afterwards one peer is
+	// sufficient.
+	startQuorumTimeout = 3 * time.Second
+	startRetry         = 500 * time.Millisecond
+	maxStartRetry      = 3 * time.Second
+	joinTimeout        = 500 * time.Millisecond
+	// partitionSyncInterval is the minimum time between two full table requests by
+	// syncAfterPartition.
+	partitionSyncInterval = time.Second
 
-	// syncInterval is the mean time between two exchanges of the whole table with
-	// some member, for news that was passed on everywhere but here.
+	// syncInterval is the mean time between two full table requests to random
+	// members. They deliver changes that this node missed and that gossip no longer
+	// sends.
 	syncInterval = 2 * time.Minute
 
-	// pullSpread is the mean wait before a pull, which keeps the nodes that learn
-	// of a version together from asking one peer together.
-	pullSpread   = 100 * time.Millisecond
+	// pullDelay is the mean delay before a pull. It spreads the pulls of nodes that
+	// receive a new version at the same time.
+	pullDelay    = 100 * time.Millisecond
 	pullTimeout  = 2 * time.Second
 	pullRetry    = 200 * time.Millisecond
 	maxPullRetry = 5 * time.Second
-	// servedPulls is the number of pulls that a node answers a second, and
-	// pullBurst how many of them at once. The others are turned away and ask
-	// another peer.
-	servedPulls = 40
-	pullBurst   = 4
+	// servedPullsPerSecond and servedPullBurst limit the pulls that a node answers.
+	// A rejected peer pulls from another member.
+	servedPullsPerSecond = 40
+	servedPullBurst      = 4
 
 	platformTimeout = 2 * time.Second
-	// watchWait bounds one long poll, so that a connection that went silent is
-	// noticed. A read follows it.
-	watchWait = 30 * time.Second
-	// watchSpacing is the least time between two long polls that bring nothing
-	// new, whatever the platform answers.
-	watchSpacing     = 250 * time.Millisecond
+	// watchTimeout limits one long poll, so that a broken connection is detected. A
+	// read follows each poll that times out.
+	watchTimeout = 30 * time.Second
+	// minWatchSpacing is the minimum time between two long polls that return
+	// nothing new, even if the platform answers immediately.
+	minWatchSpacing  = 250 * time.Millisecond
 	platformRetry    = 500 * time.Millisecond
 	maxPlatformRetry = 5 * time.Second
 
-	// watcherListInterval and otherListInterval are the mean times between two
+	// watcherListInterval and nonWatcherListInterval are the mean times between two
 	// reads of the VM list.
-	watcherListInterval = 15 * time.Second
-	otherListInterval   = 5 * time.Minute
+	watcherListInterval    = 15 * time.Second
+	nonWatcherListInterval = 5 * time.Minute
 )
 
-// timing is the part of the settings that this package uses.
+// timing holds the timing settings of this package.
 type timing struct {
-	pingInterval time.Duration
-	pingTimeout  time.Duration
-	suspect      time.Duration
-	slowPoll     time.Duration
+	pingInterval   time.Duration
+	pingTimeout    time.Duration
+	suspectTimeout time.Duration
+	slowPoll       time.Duration
 }
 
 func newTiming(t *pb.Timing) timing {
 	return timing{
-		pingInterval: orDefault(t.GetPingIntervalMs(), defaultPingInterval),
-		pingTimeout:  orDefault(t.GetPingTimeoutMs(), defaultPingTimeout),
-		suspect:      orDefault(t.GetSuspectTimeoutMs(), defaultSuspectTimeout),
-		slowPoll:     orDefault(t.GetConfigurationPollMs(), defaultSlowPoll),
+		pingInterval:   orDefault(t.GetPingIntervalMs(), defaultPingInterval),
+		pingTimeout:    orDefault(t.GetPingTimeoutMs(), defaultPingTimeout),
+		suspectTimeout: orDefault(t.GetSuspectTimeoutMs(), defaultSuspectTimeout),
+		slowPoll:       orDefault(t.GetConfigurationPollMs(), defaultSlowPoll),
 	}
 }
 
@@ -93,22 +97,23 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// counters are what Stats reports.
+// counters are the values behind Stats.
 type counters struct {
 	pings, pulls, watches, reads, lists, refused atomic.Uint64
 }
 
-// Stats counts calls since the start.
+// Stats counts calls since the process started.
 type Stats struct {
-	// Pings and Pulls were sent to peers.
+	// Pings and Pulls are the requests sent to peers.
 	Pings, Pulls uint64
-	// Watches, Reads and Lists were sent to the platform.
+	// Watches, Reads and Lists are the requests sent to the platform.
 	Watches, Reads, Lists uint64
-	// Refused messages came from another fleet or protocol or were too large.
+	// Refused is the number of rejected messages: of another fleet or protocol
+	// version, or too large.
 	Refused uint64
 }
 
-// Stats returns the counts.
+// Stats returns the current counts.
 func (f *Fleet) Stats() Stats {
 	return Stats{
 		Pings:   f.stats.pings.Load(),
--- a/node/fleet/view.go
+++ b/node/fleet/view.go
@@ -11,44 +11,45 @@
 	"github.com/carobmill/carobmill/policy/ownership"
 )
 
-// Owners and watchers when the sheet states none.
+// Defaults for the number of owners and watchers, if the sheet does not set them.
 const (
 	defaultOwners   = 2
 	defaultWatchers = 2
 )
 
-// view is what the query path reads. Nothing in it changes after publish, but
-// for the caches, which hold what follows from the rest.
+// view is the state that the query path reads. It is immutable after publishView,
+// except for the caches of derived values.
 type view struct {
 	self    Member
 	members []Member
 	index   *config.Index
 	watcher bool
-	// version of the member table that the view was made from.
+	// version is the version of the member table that the view was built from.
 	version uint64
-	// candidates are the members of each data centre that may own replicas.
+	// candidates holds, by data centre, the members that may own replicas.
 	candidates map[string][]Member
-	// groups of the candidates' names by data centre.
+	// groups holds, by data centre, the names of the candidates in each group.
 	groups map[string][][]string
-	// group is the position of this node's group.
+	// group is the index of this node's group.
 	group int
-	// owners caches Owners by data centre, then by the replica's name, as
-	// []Member. It passes from view to view while a data centre stays the same, so
-	// that a storm of changes elsewhere costs nothing here.
-	owners map[string]*sync.Map
-	// allowed holds, by the replica's name, when MayUseCold last said yes, as
-	// time.Time.
-	allowed sync.Map
-	// ranked caches the members of the replica's data centre that are not gone,
-	// best first, by the replica's name, as []Member.
-	ranked sync.Map
+	// ownersCache caches the results of Owners by data centre and replica name, as
+	// []Member. A new view reuses the cache of a data centre whose candidates have
+	// not changed. Otherwise frequent changes in one data centre would clear the
+	// caches of all.
+	ownersCache map[string]*sync.Map
+	// lastAllowed holds, by replica name, when MayUseCold last granted permission,
+	// as time.Time.
+	lastAllowed sync.Map
+	// rankingCache caches the results of rankedMembers by replica name, as
+	// []Member.
+	rankingCache sync.Map
 }
 
-// publish makes a new view if the members or the configuration changed. The
-// caller holds mu.
-func (f *Fleet) publish() {
+// publishView stores a new view if the members or the configuration have changed.
+// The caller holds mu.
+func (f *Fleet) publishView() {
 	for _, tr := range f.table.Transitions() {
-		f.note("member "+stateName(tr.Member.State), tr.Member.Name, tr.Cause)
+		f.queueEvent("member "+stateName(tr.Member.State), tr.Member.Name, tr.Cause)
 		if tr.Member.State == pb.MemberState_MEMBER_STATE_GONE {
 			f.claims.Forget(time.Now(), nodeOf(tr.Member))
 		}
@@ -74,31 +75,32 @@
 		watchers = int(v.index.Raw.GetSheet().GetTuning().GetWatchers())
 	}
 	dc := v.self.DataCentre
-	v.watcher = configstate.IsWatcher(v.self.Name, dc, names(v.candidates[dc]), watchers)
+	v.watcher = configstate.IsWatcher(v.self.Name, dc, memberNames(v.candidates[dc]), watchers)
 	f.view.Store(v)
 	f.revision.Add(1)
 }
 
 func (v *view) addCaches(old *view) {
-	v.owners = make(map[string]*sync.Map)
+	v.ownersCache = make(map[string]*sync.Map)
 	for dc, members := range v.candidates {
 		same := old != nil && old.index == v.index && old.group == v.group &&
-			slices.EqualFunc(old.candidates[dc], members, sameOwner)
+			slices.EqualFunc(old.candidates[dc], members, isSameOwner)
 		if same {
-			v.owners[dc] = old.owners[dc]
+			v.ownersCache[dc] = old.ownersCache[dc]
 		} else {
-			v.owners[dc] = &sync.Map{}
+			v.ownersCache[dc] = &sync.Map{}
 		}
 	}
 }
 
-// sameOwner reports whether two entries of a node mean the same to a sender.
-func sameOwner(a, b Member) bool {
+// isSameOwner reports whether two entries are equal in the fields that matter to a
+// sender.
+func isSameOwner(a, b Member) bool {
 	return a.ID() == b.ID() && a.State == b.State && a.PeerAddress == b.PeerAddress
 }
 
-// Revision rises whenever members or the configuration in force have changed, so
-// that what follows from them need not be worked out again and again.
+// Revision returns a number that increases whenever the members or the
+// configuration in force change. Callers use it to cache derived values.
 func (f *Fleet) Revision() uint64 {
 	return f.revision.Load()
 }
@@ -118,8 +120,8 @@
 	}
 }
 
-// addCandidates keeps one boot of each usable node: the one in the better state,
-// while it is not settled which of two boots is running.
+// addCandidates adds one boot of each usable node. While the table has two boots of
+// a node, the boot with the better state is added.
 func (v *view) addCandidates() {
 	best := make(map[string]Member)
 	for _, m := range v.members {
@@ -141,10 +143,10 @@
 	size := v.groupSize()
 	for dc, members := range v.candidates {
 		if size == 0 {
-			v.groups[dc] = [][]string{names(members)}
+			v.groups[dc] = [][]string{memberNames(members)}
 			continue
 		}
-		v.groups[dc] = ownership.Groups(names(members), size)
+		v.groups[dc] = ownership.Groups(memberNames(members), size)
 	}
 	for i, group := range v.groups[v.self.DataCentre] {
 		for _, name := range group {
@@ -169,7 +171,7 @@
 	return defaultOwners
 }
 
-func names(members []Member) []string {
+func memberNames(members []Member) []string {
 	list := make([]string, len(members))
 	for i, m := range members {
 		list[i] = m.Name
@@ -177,28 +179,28 @@
 	return list
 }
 
-// Owners returns the nodes to send a replica's subrequests to, best first: the
-// highest-ranked members of its data centre in this node's group, at most
-// Tuning.owners. The result is shared and must not be changed.
+// Owners returns the nodes to send a replica's subrequests to, highest-ranked
+// first: the highest-ranked members of its data centre in this node's group, at
+// most Tuning.owners. The result is shared and must not be modified.
 //
-// A suspected owner keeps its place in the ranking, so that a doubt that passes
-// moves no ownership, but is left out while another owner is alive, so that
-// queries do not wait for it.
+// A suspected owner keeps its rank, so that a short suspicion does not move
+// ownership. It is omitted while another owner is alive, so that queries do not
+// wait for it.
 func (f *Fleet) Owners(r *config.Replica) []Member {
 	v := f.view.Load()
-	cache := v.owners[r.DataCentre]
+	cache := v.ownersCache[r.DataCentre]
 	if cache == nil {
 		return nil
 	}
 	if cached, ok := cache.Load(r.Name); ok {
 		return cached.([]Member)
 	}
-	owners := v.rank(r)
+	owners := v.computeOwners(r)
 	cache.Store(r.Name, owners)
 	return owners
 }
 
-func (v *view) rank(r *config.Replica) []Member {
+func (v *view) computeOwners(r *config.Replica) []Member {
 	groups := v.groups[r.DataCentre]
 	if len(groups) == 0 {
 		return nil
@@ -223,8 +225,9 @@
 	return all
 }
 
-// OwnersPerReplica is how many nodes may own one replica at once: Tuning.owners
-// in each group. Connection shares divide by it.
+// OwnersPerReplica returns the maximum number of concurrent owners of a replica:
+// Tuning.owners in each group. The connections to the replica are divided among
+// that many owners.
 func (f *Fleet) OwnersPerReplica(r *config.Replica) int {
 	v := f.view.Load()
 	return v.ownerCount() * max(1, len(v.groups[r.DataCentre]))
