--- a/node/fleet/view.go
+++ b/node/fleet/view.go
@@ -33,9 +33,9 @@
 	// group is the index of this node's group.
 	group int
 	// ownersCache caches the results of Owners by data centre and replica name, as
-	// []Member. A new view reuses the cache of a data centre whose candidates have
-	// not changed. Otherwise frequent changes in one data centre would clear the
-	// caches of all.
+	// []Member. A new view reuses the cache of a data centre if its candidates, the
+	// configuration and this node's group have not changed. Otherwise frequent
+	// changes in one data centre would clear the caches of all.
 	ownersCache map[string]*sync.Map
 	// lastAllowed holds, by replica name, when MayUseCold last granted permission,
 	// as time.Time.
