--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -41,8 +41,8 @@
 	Owners(r *config.Replica) []fleet.Member
 	Self() fleet.Member
 	Ready() (bool, string)
-	// Suspected reports a failed call to a peer to the failure detector.
-	Suspected(node string)
+	// ReportCallFailure reports a failed call to a peer to the failure detector.
+	ReportCallFailure(node string)
 }
 
 // Peers sends messages to other owners.
--- a/node/owner/batch.go
+++ b/node/owner/batch.go
@@ -105,12 +105,12 @@
 	}
 	epoch := group[0].epoch
 	reply := r.owner.Backend.DoBatch(backend.Batch{
-		Replica: replica,
-		Items:   items,
-		Gate:    func() bool { return r.maySend(epoch) },
-		Settled: shared.serverDone,
+		Replica:   replica,
+		Items:     items,
+		Gate:      func() bool { return r.maySend(epoch) },
+		OnRelease: shared.serverDone,
 	})
-	if reply.Unserved {
+	if reply.BatchUnsupported {
 		r.pauseBatching(time.Now())
 	}
 	shared.replied(reply)
--- a/node/owner/batch_test.go
+++ b/node/owner/batch_test.go
@@ -68,7 +68,7 @@
 		r := &batchHarness{server: server, backend: &hookedBackend{beforeBatch: func() {}}}
 		r.Owner = New(Options{Backend: r.backend, Pool: work.NewPool(16), Ring: ring.New(8, func(string) {}),
 			Fleet: singleNodeFleet{index: &config.Index{Replicas: map[string]*config.Replica{"r0": replica}}}})
-		r.backend.Client = backend.New(backend.Options{Dial: network.Dialer("node"), Lost: r.ConnectionLost})
+		r.backend.Client = backend.New(backend.Options{Dial: network.Dialer("node"), OnDisconnect: r.ConnectionLost})
 		defer func() {
 			r.backend.Close()
 			server.Close()
--- a/node/owner/owned.go
+++ b/node/owner/owned.go
@@ -164,7 +164,7 @@
 	}
 	acquired := &slot{replica: r, latency: r.owner.latencyOf(t.req.Service), typical: t.req.Typical}
 	call := r.call(t.req)
-	call.Settled = acquired.serverDone
+	call.OnRelease = acquired.serverDone
 	call.Gate = func() bool { return r.maySend(t.epoch) }
 	ctx, end := r.requestContext(t)
 	defer end()
