--- a/node/entry/tables.go
+++ b/node/entry/tables.go
@@ -65,11 +65,11 @@
 }
 
 // admit decides on the admission of a query with the given remaining time.
-func (t *tables) admit(now time.Time, class *pb.Class, left time.Duration) admission.Decision {
+func (t *tables) admit(now time.Time, class *pb.Class, remaining time.Duration) admission.Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	expected := t.queryLatency.At(expectedQuantile)
-	decision := t.admission.Admit(now, class.GetPriority(), left, expected)
+	decision := t.admission.Admit(now, class.GetPriority(), remaining, expected)
 	t.probing = t.probing || decision.Probe
 	t.hedges.SetPressure(t.admission.Pressure())
 	t.retries.SetPressure(t.admission.Pressure())
@@ -123,9 +123,9 @@
 	}
 }
 
-// recordResult records one result. The replica named in a mismatched result differs from
-// the one that the attempt was sent to, or is missing; the attempt ends at the replica
-// that it was sent to. Caller holds mu.
+// recordResult records one result. A mismatched result names a replica that the attempt
+// was not sent to, or none. The attempt always ends at the replica that it was sent to.
+// Caller holds mu.
 func (t *tables) recordResult(now time.Time, attempt attemptResult) {
 	r := attempt.result
 	t.routing.Done(attempt.replica, now, attempt.took, routingResult(r.GetReason()))
--- a/node/owner/batch.go
+++ b/node/owner/batch.go
@@ -36,12 +36,12 @@
 	if !r.limiter.MayQueue(now, policy.Calls(len(r.queue))) {
 		return false
 	}
-	left := time.Duration(math.MaxInt64)
-	if deadline, limited := t.ctx.Deadline(); limited {
-		left = deadline.Sub(now)
+	remaining := time.Duration(math.MaxInt64)
+	if deadline, hasDeadline := t.ctx.Deadline(); hasDeadline {
+		remaining = deadline.Sub(now)
 	}
 	q := coalesce.Queue{Waiting: len(r.queue), Slots: r.limiter.Limit()}
-	return policy.MeetsDeadline(q, t.req.Typical, left)
+	return policy.MeetsDeadline(q, t.req.Typical, remaining)
 }
 
 // dequeueGroup removes from the queue the tasks that share the slot acquired for
--- a/node/owner/poll.go
+++ b/node/owner/poll.go
@@ -24,8 +24,8 @@
 	// maxWarmPollsPerSecond limits the rate of status polls of all warm replicas
 	// without traffic together. A poll writes 81 bytes: at an interval of a second, 37 idle
 	// replicas would use 3.0 of the 4 KB/s that a node has for control messages. The
-	// limit delays only what these polls detect; a lost connection or a request
-	// detects a restart at once.
+	// limit delays the changes that only a poll detects. A lost connection or a
+	// request detects a restart at once.
 	maxWarmPollsPerSecond = 10
 )
 
@@ -121,15 +121,15 @@
 	if warm {
 		interval = warmInterval
 	}
-	least := interval * 3 / 4
-	if now.Sub(r.scheduledAt) < least+time.Duration(r.jitter*float64(interval)/2) {
+	minInterval := interval * 3 / 4
+	if now.Sub(r.scheduledAt) < minInterval+time.Duration(r.jitter*float64(interval)/2) {
 		return false
 	}
 	r.scheduledAt = now
 	r.jitter = rand.Float64()
 	// Replies contain the same status as a poll, so a warm replica with traffic is
 	// not polled.
-	return !warm || now.Sub(r.statusAt) >= least
+	return !warm || now.Sub(r.statusAt) >= minInterval
 }
 
 // setDefinition applies the current definition of the replica and sets this node's
@@ -274,11 +274,11 @@
 			continue
 		}
 		entry := o.ensureReplica(r)
-		senderFirst := owners[0].Name == sender
+		senderIsFirst := owners[0].Name == sender
 		// Another owner starts in the cold state until it receives the state from
 		// the first owner. Its report does not indicate a cold start.
-		if senderFirst || n.GetState() == pb.ReplicaState_REPLICA_STATE_DRAINING {
-			entry.applyReport(n, senderFirst)
+		if senderIsFirst || n.GetState() == pb.ReplicaState_REPLICA_STATE_DRAINING {
+			entry.applyReport(n, senderIsFirst)
 		}
 		entry.mu.Lock()
 		answer.News = append(answer.News, entry.report())
--- a/node/owner/poll_test.go
+++ b/node/owner/poll_test.go
@@ -21,9 +21,9 @@
 		state   pb.ReplicaState
 		traffic bool
 		// owned is the number of warm replicas that the node owns.
-		owned  int
-		least  int
-		atMost int
+		owned    int
+		minPolls int
+		maxPolls int
 	}{
 		{"warm with traffic", pb.ReplicaState_REPLICA_STATE_WARM, true, 1, 1, 1},
 		{"warm without traffic", pb.ReplicaState_REPLICA_STATE_WARM, false, 1, 40, 80},
@@ -51,7 +51,7 @@
 					r.statusAt = now
 				}
 			}
-			c.Assert(polls >= tc.least && polls <= tc.atMost, qt.IsTrue, qt.Commentf("%d polls", polls))
+			c.Assert(polls >= tc.minPolls && polls <= tc.maxPolls, qt.IsTrue, qt.Commentf("%d polls", polls))
 		})
 	}
 }
--- a/node/owner/slot.go
+++ b/node/owner/slot.go
@@ -56,14 +56,14 @@
 
 // requestContext returns the context of a request to the backend server. A request that
 // must run to completion continues until its deadline when the sender cancels it, and
-// the sender is answered at once. It warms up a replica that is not warm, and its
-// latency shows the progress.
+// the sender is answered at once. The request warms up a replica that is not warm, and
+// its latency shows the progress.
 func (r *ownedReplica) requestContext(t *task) (context.Context, func()) {
 	r.mu.Lock()
 	runToCompletion := r.limiter.RunToCompletion()
 	r.mu.Unlock()
-	deadline, limited := t.ctx.Deadline()
-	if !runToCompletion || !limited || t.req.Execute {
+	deadline, hasDeadline := t.ctx.Deadline()
+	if !runToCompletion || !hasDeadline || t.req.Execute {
 		return t.ctx, func() {}
 	}
 	var once sync.Once
--- a/node/owner/verify.go
+++ b/node/owner/verify.go
@@ -12,8 +12,8 @@
 // replica, at the same time as the first owner. Therefore every lost connection, also
 // an idle one, stops new requests until a status poll has reported the incarnation.
 // Requests that hold a slot but are not written yet are refused because their epoch
-// has changed. An owner without connections cannot detect a lost connection. It also
-// polls before it sends, and the connection of that poll stays open.
+// has changed. An owner without connections cannot detect a restart. Such an owner also
+// polls before it sends requests, and the connection of that poll stays open.
 
 // acquire acquires a slot for a task. Until the replica's incarnation is verified,
 // acquire returns REASON_LIMIT, so that the task is queued. Caller holds mu.
@@ -66,14 +66,14 @@
 
 // maySend reports whether a request that acquired its slot in an epoch may still be
 // written: no connection was lost since, and this node still holds the claim if only
-// one owner may use the replica. Without this check, the claim could expire or the
-// replica could turn cold while a connection is opened.
+// one owner may use the replica. Without this check, a request could be sent
+// after the claim expired or the replica turned cold while a connection was opened.
 func (r *ownedReplica) maySend(epoch uint64) bool {
 	r.mu.Lock()
-	same := r.epoch == epoch
-	replica, alone := r.replica, r.limiter.FirstOwnerOnly()
+	sameEpoch := r.epoch == epoch
+	replica, exclusive := r.replica, r.limiter.FirstOwnerOnly()
 	r.mu.Unlock()
-	return same && (!alone || r.owner.Fleet.MayUseCold(replica))
+	return sameEpoch && (!exclusive || r.owner.Fleet.MayUseCold(replica))
 }
 
 // startQueued starts the queued tasks. If the replica was not verified, all are
