--- a/node/backend/batch.go
+++ b/node/backend/batch.go
@@ -12,37 +12,37 @@
 
 // Item is one subrequest of a batch.
 type Item struct {
-	// Ctx ends the item alone; its siblings go on.
+	// Ctx ends this item only; the other items continue.
 	Ctx context.Context
-	// Call names no Replica, Gate or OnRelease: these are the batch's.
+	// Call has no Replica, Gate or OnRelease; those of the batch apply.
 	Call Call
-	// Done is called once with the item's outcome, as soon as it is known, also
-	// from another goroutine. It must not block: it would hold back the siblings.
+	// Done is called once with the item's outcome, possibly from another
+	// goroutine. It must not block: that would delay the other items.
 	Done func(Reply)
 }
 
-// Batch is one call that carries subrequests of different queries to one
+// Batch is one request that carries subrequests of different queries to one
 // replica.
 type Batch struct {
 	Replica *config.Replica
-	// Items are reads; a non-idempotent request never goes into a batch.
+	// Items are reads; non-idempotent requests are not allowed.
 	Items []Item
-	// Gate and OnRelease are those of a Call, for the batch as a whole.
+	// Gate and OnRelease apply to the batch as a whole, as in Call.
 	Gate      func() bool
 	OnRelease func()
 }
 
-// itemState is how far an item is.
+// itemState is the progress of an item.
 type itemState int
 
 const (
-	// itemWaiting has left no trace on a connection.
-	itemWaiting itemState = iota
-	// itemWritten is part of a request that may have left.
+	// itemPending has not been written to a connection.
+	itemPending itemState = iota
+	// itemWritten is part of a request that may have been sent.
 	itemWritten
-	// itemAbandoned was given up; a reply that still comes is dropped.
-	itemAbandoned
-	// itemAnswered has its outcome; a second reply is one too many.
+	// itemCancelled has its outcome; a reply that still arrives is dropped.
+	itemCancelled
+	// itemAnswered has its outcome; a further reply counts as mismatched.
 	itemAnswered
 )
 
@@ -52,56 +52,56 @@
 	state    itemState
 }
 
-// batch is a Batch under way.
+// batch is the state of a Batch in flight.
 type batch struct {
-	begun time.Time
-	items []*item
+	started time.Time
+	items   []*item
 
 	// mu guards the fields below and the state of the items.
 	mu        sync.Mutex
 	byAttempt map[string]*item
 	open      int
-	abandoned int
-	// told counts the items whose Done has not returned.
-	told sync.WaitGroup
-	// cancel ends the exchange when nobody waits for it any more.
+	cancelled int
+	// pendingDone counts the items whose Done has not returned.
+	pendingDone sync.WaitGroup
+	// cancel ends the exchange once no item waits for a reply.
 	cancel context.CancelFunc
 }
 
-// DoBatch carries the items in one exchange and returns when each has its
-// outcome and the connection is given back or given up. Like Do it never sends
-// anything twice. The reply tells how the exchange as a whole went.
+// DoBatch sends the items in one exchange. It returns when each item has its
+// outcome and the connection has been released or abandoned. Like Do, it never
+// sends a request twice. The reply is the outcome of the exchange as a whole.
 func (c *Client) DoBatch(b Batch) Reply {
-	settled := b.OnRelease
-	if settled == nil {
-		settled = func() {}
+	onRelease := b.OnRelease
+	if onRelease == nil {
+		onRelease = func() {}
 	}
 	run := newBatch(b.Items)
 	ctx, cancel := run.context()
 	defer cancel()
 	run.cancel = cancel
 	for _, it := range run.items {
-		stop := context.AfterFunc(it.Ctx, func() { run.abandon(it) })
+		stop := context.AfterFunc(it.Ctx, func() { run.cancelItem(it) })
 		defer stop()
 	}
 	call := Call{Replica: b.Replica, Gate: b.Gate, batch: run, Attempt: run.items[0].Call.Attempt}
-	reply := c.attempt(ctx, call, http.MethodPost, pathBatch, settled)
-	run.sweep(reply)
-	run.told.Wait()
+	reply := c.attempt(ctx, call, http.MethodPost, pathBatch, onRelease)
+	run.completeOpen(reply)
+	run.pendingDone.Wait()
 	return reply
 }
 
 func newBatch(list []Item) *batch {
 	b := &batch{
-		begun:     time.Now(),
+		started:   time.Now(),
 		items:     make([]*item, 0, len(list)),
 		byAttempt: make(map[string]*item, len(list)),
 		open:      len(list),
 	}
-	b.told.Add(len(list))
+	b.pendingDone.Add(len(list))
 	for _, i := range list {
 		if i.Call.Execute {
-			panic("backend: a non-idempotent request in a batch")
+			panic("backend: non-idempotent request in a batch")
 		}
 		it := &item{Item: i}
 		it.deadline, _ = i.Ctx.Deadline()
@@ -111,7 +111,7 @@
 	return b
 }
 
-// context ends with the last item's deadline.
+// context returns a context that ends with the latest deadline of the items.
 func (b *batch) context() (context.Context, context.CancelFunc) {
 	var last time.Time
 	for _, it := range b.items {
@@ -125,82 +125,81 @@
 	return context.WithDeadline(context.Background(), last)
 }
 
-// abandon gives up one item. The exchange goes on for its siblings: closing the
-// connection would cut them. The backend server stops at the item's timeout.
-func (b *batch) abandon(it *item) {
-	b.end(it, itemAbandoned, Reply{
+// cancelItem ends one item. The exchange continues, since closing the connection
+// would end the other items too. The backend server stops at the item's timeout.
+func (b *batch) cancelItem(it *item) {
+	b.finish(it, itemCancelled, Reply{
 		Reason:   contextReason(it.Ctx),
 		Evidence: pb.Evidence_EVIDENCE_UNKNOWN,
-		Took:     time.Since(b.begun),
+		Took:     time.Since(b.started),
 	})
 }
 
-// answered gives an item its outcome, unless it has one.
-func (b *batch) answered(it *item, reply Reply) {
-	b.end(it, itemAnswered, reply)
+// completeItem sets the outcome of an item that has none.
+func (b *batch) completeItem(it *item, reply Reply) {
+	b.finish(it, itemAnswered, reply)
 }
 
-// end gives an item its outcome and last state, unless it has them. Callers end
-// their contexts when they have their answers, so an item that was answered is often
-// abandoned afterwards: that must not end the exchange, whose reply is about to be
-// complete.
-func (b *batch) end(it *item, last itemState, reply Reply) {
+// finish sets the outcome and final state of an item that has none. Callers end
+// their contexts after their replies, so an answered item is often cancelled
+// afterwards. That must not cancel the exchange, whose reply is nearly complete.
+func (b *batch) finish(it *item, final itemState, reply Reply) {
 	b.mu.Lock()
-	if it.state >= itemAbandoned {
+	if it.state >= itemCancelled {
 		b.mu.Unlock()
 		return
 	}
-	if last == itemAbandoned {
-		b.abandoned++
-		if it.state == itemWaiting {
-			// It is left out of the request, whenever that is written.
+	if final == itemCancelled {
+		b.cancelled++
+		if it.state == itemPending {
+			// The item is left out when the request is written.
 			reply.Evidence = pb.Evidence_EVIDENCE_NOT_RUN
 		}
 	}
-	it.state = last
+	it.state = final
 	b.open--
-	// What is still to come on this connection is for nobody.
-	unwanted := b.open == 0 && b.abandoned > 0
+	// No item needs the rest of the reply.
+	unwanted := b.open == 0 && b.cancelled > 0
 	b.mu.Unlock()
 	it.Done(reply)
-	b.told.Done()
+	b.pendingDone.Done()
 	if unwanted {
 		b.cancel()
 	}
 }
 
-// match returns the item that a reply belongs to, nil for a foreign or repeated
-// reply.
+// match returns the item that a reply belongs to, or nil for an unknown or
+// repeated attempt ID.
 func (b *batch) match(attempt string) *item {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	it := b.byAttempt[attempt]
-	if it == nil || it.state == itemAnswered || it.state == itemWaiting {
+	if it == nil || it.state == itemAnswered || it.state == itemPending {
 		return nil
 	}
 	return it
 }
 
-// unanswered returns the items without an outcome.
-func (b *batch) unanswered() []*item {
+// openItems returns the items without an outcome.
+func (b *batch) openItems() []*item {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []*item
 	for _, it := range b.items {
-		if it.state < itemAbandoned {
+		if it.state < itemCancelled {
 			list = append(list, it)
 		}
 	}
 	return list
 }
 
-// sweep gives the items that are still open the outcome of the whole exchange.
-// Evidence "not run" holds for each of them: it is only stated when no byte of
-// the batch can have left, or when the backend server refused it as a whole.
-func (b *batch) sweep(whole Reply) {
-	for _, it := range b.unanswered() {
+// completeOpen sets the outcome of the whole exchange on the items that are still
+// open. Evidence "not run" is valid for each of them: it is reported only when no
+// byte of the batch can have been sent, or when the server refused the batch.
+func (b *batch) completeOpen(whole Reply) {
+	for _, it := range b.openItems() {
 		reply := whole
 		reply.Result = nil
-		b.answered(it, reply)
+		b.completeItem(it, reply)
 	}
 }
--- a/node/backend/bench_test.go
+++ b/node/backend/bench_test.go
@@ -15,7 +15,7 @@
 	standin "github.com/carobmill/carobmill/standin/backend"
 )
 
-func benchRig(b *testing.B, protocol pb.Protocol, so standin.Options, co backend.Options, share int) (*backend.Client, *config.Replica) {
+func newBenchClient(b *testing.B, protocol pb.Protocol, so standin.Options, co backend.Options, share int) (*backend.Client, *config.Replica) {
 	so.Name = "r0"
 	so.Generations = []standin.Generation{{ID: 1, FirstSnapshot: 1, Shards: []string{"s0"}}}
 	so.Oldest, so.Newest = 5, 7
@@ -38,12 +38,12 @@
 		Class: "checkpoint", Attempt: attempt, Body: []byte(`{"rider":"KE-1207"}`)}
 }
 
-// BenchmarkAttempt is the cost of one attempt on a kept connection, the
-// stand-in's own cost included.
+// BenchmarkAttempt measures one attempt on an open connection, including the cost of
+// the stand-in server.
 func BenchmarkAttempt(b *testing.B) {
 	for _, protocol := range protocols {
 		b.Run(protocol.String(), func(b *testing.B) {
-			client, r := benchRig(b, protocol, standin.Options{}, backend.Options{}, 1)
+			client, r := newBenchClient(b, protocol, standin.Options{}, backend.Options{}, 1)
 			ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 			defer cancel()
 			b.ReportAllocs()
@@ -56,11 +56,10 @@
 	}
 }
 
-// BenchmarkCancelledLoser weighs what to do with the connection of a cancelled
-// HTTP/1.1 exchange where a new connection costs 6 ms: the loser's reply would
-// come within `remaining` of the cancellation. It reports new connections for
-// each loser, how long the next attempt took, and how long the loser went on
-// occupying the replica.
+// BenchmarkCancelledLoser measures a cancelled HTTP/1.1 exchange whose reply would
+// arrive within `remaining`, where a new connection takes 6 ms. It reports new
+// connections for each cancelled exchange, the duration of the next attempt, and
+// how long the cancelled exchange occupied the replica.
 func BenchmarkCancelledLoser(b *testing.B) {
 	const (
 		connectTime = 6 * time.Millisecond
@@ -77,25 +76,25 @@
 					ServiceTime: standin.ServiceTime{Base: cancelAfter, Spread: remaining},
 					Rng:         rand.New(rand.NewPCG(1, 2)),
 				}
-				client, r := benchRig(b, pb.Protocol_PROTOCOL_HTTP1, so, backend.Options{CancelGrace: bound}, 1)
+				client, r := newBenchClient(b, pb.Protocol_PROTOCOL_HTTP1, so, backend.Options{CancelGrace: bound}, 1)
 				var next time.Duration
 				var occupied atomic.Int64
 				losers := 0
 				for b.Loop() {
 					losers++
 					ctx, cancel := context.WithTimeout(context.Background(), cancelAfter)
-					settled := make(chan struct{})
+					released := make(chan struct{})
 					call := benchCall(r, "loser")
 					cancelled := time.Now().Add(cancelAfter)
 					call.OnRelease = func() {
 						occupied.Add(int64(max(0, time.Since(cancelled))))
-						close(settled)
+						close(released)
 					}
 					client.Do(ctx, call)
 					cancel()
 					client.Poll(context.Background(), r)
 					next += time.Since(cancelled)
-					<-settled
+					<-released
 				}
 				n := float64(losers)
 				b.ReportMetric(float64(client.Stats().Dialled)/n, "dials/loser")
@@ -107,13 +106,13 @@
 	}
 }
 
-// BenchmarkConnectionMemory is what one open, idle connection takes in this
-// process, the stand-in's end included: heap and stacks after a collection.
+// BenchmarkConnectionMemory measures the memory of one open, idle connection in this
+// process, including the stand-in's end: heap and stacks after a garbage collection.
 func BenchmarkConnectionMemory(b *testing.B) {
 	const connections = 500
 	for _, protocol := range protocols {
 		b.Run(protocol.String(), func(b *testing.B) {
-			client, r := benchRig(b, protocol, standin.Options{}, backend.Options{}, 1)
+			client, r := newBenchClient(b, protocol, standin.Options{}, backend.Options{}, 1)
 			before := memoryInUse()
 			for i := range connections {
 				own := *r
--- a/node/backend/call.go
+++ b/node/backend/call.go
@@ -11,20 +11,20 @@
 type Call struct {
 	Replica *config.Replica
 	Shard   string
-	// Generation that the reply must come from; 0 takes any.
+	// Generation that the reply must come from; 0 accepts any.
 	Generation uint64
-	// Snapshot that the reply must come from; 0 asks for the newest.
+	// Snapshot that the reply must come from; 0 requests the newest.
 	Snapshot uint64
 	Class    string
 	// Attempt is unique across nodes and restarts; the reply must repeat it.
 	Attempt string
-	// RequestID names a non-idempotent request; it is the same on each attempt.
+	// RequestID identifies a non-idempotent request; it is the same on each attempt.
 	RequestID string
 	Body      []byte
 	// Execute marks a non-idempotent request.
 	Execute bool
-	// Gate, if set, is asked when a connection is there, right before anything is
-	// written; on false the attempt ends as not run.
+	// Gate, if set, is called once a connection is available, right before the
+	// request is written. If it returns false, the attempt ends as not run.
 	Gate func() bool
 	// OnRelease, if set, is called once when the request no longer occupies the
 	// replica: its reply was read, it was never sent, or the backend server has
@@ -33,7 +33,7 @@
 	// here and not when Do returns.
 	OnRelease func()
 
-	// batch is set on the call that carries one.
+	// batch is set on the call that carries a batch.
 	batch *batch
 }
 
@@ -42,9 +42,9 @@
 	// Reason is REASON_UNSPECIFIED when Result holds the replica's answer.
 	Reason   pb.Reason
 	Evidence pb.Evidence
-	// Snapshot and Generation that the answer came from.
+	// Snapshot and Generation of the answer.
 	Snapshot, Generation uint64
-	// Oldest and Newest snapshot that the replica holds; 0 when it did not say.
+	// Oldest and Newest snapshot that the replica holds; 0 if not reported.
 	Oldest, Newest uint64
 	// Incarnation changes when the backend server restarts.
 	Incarnation    string
@@ -52,11 +52,11 @@
 	// Load that the replica reports: requests in flight for each slot.
 	Load   float64
 	Result []byte
-	// Silent is set with REASON_CONNECTION when the connection went silent while
-	// others to the replica work. It says nothing about the replica, and is no
-	// sign of a cold start.
+	// Silent is set with REASON_CONNECTION when the connection received no data
+	// while others to the replica work. It does not indicate a fault or a cold
+	// start of the replica.
 	Silent bool
-	// BatchUnsupported is set when the backend server does not know the batch call.
+	// BatchUnsupported is set when the backend server does not support batches.
 	BatchUnsupported bool
 	// Queued is the time spent waiting for a connection, Took the time from
 	// then until the reply was read.
--- a/node/backend/client.go
+++ b/node/backend/client.go
@@ -14,7 +14,7 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
-// Client sends attempts to backend servers. Safe for concurrent use.
+// Client sends attempts to backend servers. It is safe for concurrent use.
 type Client struct {
 	opts  Options
 	http1 *http.Transport
@@ -27,30 +27,31 @@
 	shares map[string]int
 }
 
-// Stats counts what happened to connections since the client was made.
+// Stats counts events since the client was created.
 type Stats struct {
 	// Dialled connections and failed dials.
 	Dialled, DialErrors uint64
-	// SilentClosed connections went silent while others worked.
+	// SilentClosed connections received no data while others worked.
 	SilentClosed uint64
-	// CancelledClosed connections were given up because a cancelled exchange did not
-	// finish in time; connections of CancelledFinished ones were kept.
+	// CancelledClosed counts cancelled HTTP/1.1 exchanges that ended without a
+	// result, mostly because the connection was closed after CancelGrace.
+	// CancelledFinished counts cancelled exchanges whose result still arrived.
 	CancelledClosed, CancelledFinished uint64
-	// Mismatched replies belonged to another attempt, snapshot or shard, or were
-	// missing in a batch.
+	// Mismatched replies belonged to another attempt, snapshot, generation or
+	// shard, or were missing from a batch.
 	Mismatched uint64
-	// BytesIn and BytesOut crossed connections to backend servers.
+	// BytesIn and BytesOut on connections to backend servers.
 	BytesIn, BytesOut uint64
-	// Batches were written, with BatchItems subrequests.
+	// Batches written, with BatchItems subrequests in total.
 	Batches, BatchItems uint64
 }
 
 type stats struct {
-	dialled, dialErrors, condemned, closed, finished, mismatched atomic.Uint64
-	batches, batchItems, bytesIn, bytesOut                       atomic.Uint64
+	dialled, dialErrors, silentClosed, cancelledClosed, cancelledFinished, mismatched atomic.Uint64
+	batches, batchItems, bytesIn, bytesOut                                            atomic.Uint64
 }
 
-// New makes a client. Replicas have no connections until SetConnections.
+// New returns a client. It opens no connections to a replica before SetConnections.
 func New(opts Options) *Client {
 	c := &Client{
 		opts:   opts.withDefaults(),
@@ -66,42 +67,42 @@
 	protocols := new(http.Protocols)
 	set(protocols)
 	return &http.Transport{
-		DialContext:            c.dialWire,
+		DialContext:            c.dialNetConn,
 		Protocols:              protocols,
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		HTTP2: &http.HTTP2Config{
-			SendPingTimeout: defaultPingAfter,
+			SendPingTimeout: defaultSendPingTimeout,
 			PingTimeout:     c.opts.ProbeTimeout,
 		},
 	}
 }
 
-// wireKey is the context key of a wireSlot.
-type wireKey struct{}
+// dialResultKey is the context key of a *dialResult.
+type dialResultKey struct{}
 
-// wireSlot is where dialWire leaves a connection, and what it is told to call
-// when the other end closes it.
-type wireSlot struct {
-	wire *wire
-	lost func()
+// dialResult receives the connection that dialNetConn opens, and holds the
+// callback for when the peer closes that connection.
+type dialResult struct {
+	conn         *netConn
+	onDisconnect func()
 }
 
-func (c *Client) dialWire(ctx context.Context, network, address string) (net.Conn, error) {
+func (c *Client) dialNetConn(ctx context.Context, network, address string) (net.Conn, error) {
 	inner, err := c.opts.Dial(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	slot, ok := ctx.Value(wireKey{}).(*wireSlot)
+	result, ok := ctx.Value(dialResultKey{}).(*dialResult)
 	if !ok {
 		return inner, nil
 	}
-	slot.wire = newWire(inner, c.opts.CloseTimeout, slot.lost, &c.stats)
-	return slot.wire, nil
+	result.conn = newNetConn(inner, c.opts.CloseTimeout, result.onDisconnect, &c.stats)
+	return result.conn, nil
 }
 
 // SetConnections sets the node's share of the replica's connections. Surplus
-// connections are closed as soon as they are idle; with 0 every call is refused
+// connections are closed as soon as they are idle. With 0, every call is refused
 // as not run.
 func (c *Client) SetConnections(replica string, n int) {
 	c.mu.Lock()
@@ -112,7 +113,7 @@
 	}
 }
 
-// Connections returns the connections that are open to the replica.
+// Connections returns the number of open connections to the replica.
 func (c *Client) Connections(replica string) int {
 	c.mu.Lock()
 	p := c.pools[replica]
@@ -123,8 +124,8 @@
 	return p.open()
 }
 
-// Forget closes the replica's connections once they are idle and drops what is
-// known about it.
+// Forget closes the replica's connections once they are idle and removes the
+// replica's state.
 func (c *Client) Forget(replica string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,25 +136,25 @@
 	}
 }
 
-// Close closes every connection, also those with an exchange under way.
+// Close closes all connections, including those with an exchange in flight.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, p := range c.pools {
-		p.shut()
+		p.closeAll()
 		delete(c.pools, name)
 	}
 	clear(c.shares)
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counts.
 func (c *Client) Stats() Stats {
 	return Stats{
 		Dialled:           c.stats.dialled.Load(),
 		DialErrors:        c.stats.dialErrors.Load(),
-		SilentClosed:      c.stats.condemned.Load(),
-		CancelledClosed:   c.stats.closed.Load(),
-		CancelledFinished: c.stats.finished.Load(),
+		SilentClosed:      c.stats.silentClosed.Load(),
+		CancelledClosed:   c.stats.cancelledClosed.Load(),
+		CancelledFinished: c.stats.cancelledFinished.Load(),
 		Mismatched:        c.stats.mismatched.Load(),
 		BytesIn:           c.stats.bytesIn.Load(),
 		BytesOut:          c.stats.bytesOut.Load(),
@@ -162,7 +163,7 @@
 	}
 }
 
-// Report gives the counts and the open connections to a metrics source.
+// Report passes the counts and the number of open connections to a metrics source.
 func (c *Client) Report(set func(name string, value float64)) {
 	s := c.Stats()
 	for name, value := range map[string]uint64{
@@ -189,8 +190,8 @@
 	set("backend_connections", float64(open))
 }
 
-// pool returns the replica's pool. A changed address or protocol starts a new
-// one, since a name may move to another backend server.
+// pool returns the replica's pool. If the address or protocol has changed, it
+// creates a new pool, since the name may now belong to another backend server.
 func (c *Client) pool(r *config.Replica) *pool {
 	h2 := r.Service != nil && r.Service.Spec.GetProtocol() == pb.Protocol_PROTOCOL_H2C
 	c.mu.Lock()
@@ -207,59 +208,59 @@
 	return p
 }
 
-// attemptsOnStale bounds how often Do takes another connection because the one
-// it got was closed before anything was written.
-const attemptsOnStale = 3
+// maxConnsPerAttempt is how many connections an attempt acquires at most, when
+// each is closed before the request is written.
+const maxConnsPerAttempt = 3
 
-// Do carries one attempt. It returns as soon as ctx ends. It never sends the
-// attempt twice: it takes another connection only after proof that nothing was
-// written on the one before.
+// Do sends one attempt and returns as soon as ctx ends. It never sends the
+// attempt twice: it uses another connection only if nothing was written to the
+// previous one.
 func (c *Client) Do(ctx context.Context, call Call) Reply {
 	path := pathQuery
 	if call.Execute {
 		path = pathExecute
 	}
-	settled := call.OnRelease
-	if settled == nil {
-		settled = func() {}
+	onRelease := call.OnRelease
+	if onRelease == nil {
+		onRelease = func() {}
 	}
-	return c.attempt(ctx, call, http.MethodPost, path, settled)
+	return c.attempt(ctx, call, http.MethodPost, path, onRelease)
 }
 
-// Poll asks the replica for its state. The reply holds no result.
+// Poll requests the replica's state. The reply holds no result.
 func (c *Client) Poll(ctx context.Context, r *config.Replica) Reply {
 	return c.attempt(ctx, Call{Replica: r}, http.MethodGet, pathStatus, func() {})
 }
 
-func (c *Client) attempt(ctx context.Context, call Call, method, path string, settled func()) Reply {
+func (c *Client) attempt(ctx context.Context, call Call, method, path string, onRelease func()) Reply {
 	p := c.pool(call.Replica)
 	var reply Reply
-	for range attemptsOnStale {
+	for range maxConnsPerAttempt {
 		begin := time.Now()
 		cn, err := p.acquire(ctx)
 		if err != nil {
-			settled()
+			onRelease()
 			return notRun(acquireReason(ctx, err))
 		}
-		if call.Execute && !p.prove(ctx, cn) {
+		if call.Execute && !p.verifyAlive(ctx, cn) {
 			reply = notRun(pb.Reason_REASON_CONNECTION)
 			continue
 		}
 		queued := time.Since(begin)
 		if call.Gate != nil && !call.Gate() {
 			p.release(cn, true)
-			settled()
+			onRelease()
 			return notRun(pb.Reason_REASON_COLD)
 		}
 		ex := newExchange(p, cn, &call, method, path)
 		var stale bool
-		reply, stale = ex.run(ctx, settled)
+		reply, stale = ex.run(ctx, onRelease)
 		reply.Queued += queued
 		if !stale {
 			return reply
 		}
 	}
-	settled()
+	onRelease()
 	reply.Reason = pb.Reason_REASON_CONNECTION
 	return reply
 }
--- a/node/backend/client_test.go
+++ b/node/backend/client_test.go
@@ -20,21 +20,21 @@
 	ran     = pb.Evidence_EVIDENCE_RAN
 	notRun  = pb.Evidence_EVIDENCE_NOT_RUN
 	unknown = pb.Evidence_EVIDENCE_UNKNOWN
-	// patience bounds what a test waits for; it decides nothing.
-	patience = 10 * time.Second
+	// testTimeout bounds what a test waits for; no result depends on it.
+	testTimeout = 10 * time.Second
 )
 
 var protocols = []pb.Protocol{pb.Protocol_PROTOCOL_HTTP1, pb.Protocol_PROTOCOL_H2C}
 
-// rig is one backend server and a client with a share of its connections.
-type rig struct {
+// harness is one backend server and a client with a share of its connections.
+type harness struct {
 	*qt.C
 	server  *standin.Server
 	client  *backend.Client
 	replica *config.Replica
 }
 
-func newRig(t *testing.T, protocol pb.Protocol, so standin.Options, co backend.Options, share int) *rig {
+func newHarness(t *testing.T, protocol pb.Protocol, so standin.Options, co backend.Options, share int) *harness {
 	c := qt.New(t)
 	so.Name = "r0"
 	so.Generations = []standin.Generation{{ID: 1, FirstSnapshot: 1, Shards: []string{"s0"}}}
@@ -48,16 +48,16 @@
 		server.Resume()
 		server.Close()
 	})
-	return &rig{C: c, server: server, client: client, replica: &config.Replica{
+	return &harness{C: c, server: server, client: client, replica: &config.Replica{
 		Name:    "r0",
 		Address: server.Addr(),
 		Service: &config.Service{Spec: &pb.Service{Protocol: protocol}},
 	}}
 }
 
-func (r *rig) call(attempt string) backend.Call {
+func (h *harness) call(attempt string) backend.Call {
 	return backend.Call{
-		Replica:    r.replica,
+		Replica:    h.replica,
 		Shard:      "s0",
 		Generation: 1,
 		Snapshot:   7,
@@ -67,116 +67,114 @@
 	}
 }
 
-func (r *rig) execute(attempt, id string) backend.Call {
-	call := r.call(attempt)
+func (h *harness) execute(attempt, id string) backend.Call {
+	call := h.call(attempt)
 	call.Snapshot = 0
 	call.Execute = true
 	call.RequestID = id
 	return call
 }
 
-func (r *rig) do(call backend.Call) backend.Reply {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (h *harness) do(call backend.Call) backend.Reply {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	return r.client.Do(ctx, call)
+	return h.client.Do(ctx, call)
 }
 
-func (r *rig) eventually(what string, condition func() bool) {
-	r.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+func (h *harness) waitUntil(what string, condition func() bool) {
+	h.Helper()
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if condition() {
 			return
 		}
 	}
-	r.Fatalf("did not happen: %s", what)
+	h.Fatalf("timed out waiting until %s", what)
 }
 
-func eachProtocol(t *testing.T, f func(t *testing.T, protocol pb.Protocol)) {
+func forEachProtocol(t *testing.T, f func(t *testing.T, protocol pb.Protocol)) {
 	for _, protocol := range protocols {
 		t.Run(protocol.String(), func(t *testing.T) { f(t, protocol) })
 	}
 }
 
-func TestEachAnswerBelongsToItsRequest(t *testing.T) {
-	eachProtocol(t, func(t *testing.T, protocol pb.Protocol) {
+func TestConcurrentRequestsReceiveTheirOwnReplies(t *testing.T) {
+	forEachProtocol(t, func(t *testing.T, protocol pb.Protocol) {
 		so := standin.Options{Slots: 4, Queue: -1, Connections: 12}
-		r := newRig(t, protocol, so, backend.Options{}, 3)
+		h := newHarness(t, protocol, so, backend.Options{}, 3)
 		var wg sync.WaitGroup
 		for i := range 64 {
 			wg.Go(func() {
-				call := r.call(fmt.Sprint("a", i))
-				reply := r.do(call)
-				r.Check(reply.Reason, qt.Equals, pb.Reason_REASON_UNSPECIFIED)
-				r.Check(reply.Evidence, qt.Equals, ran)
+				call := h.call(fmt.Sprint("a", i))
+				reply := h.do(call)
+				h.Check(reply.Reason, qt.Equals, pb.Reason_REASON_UNSPECIFIED)
+				h.Check(reply.Evidence, qt.Equals, ran)
 				var result standin.Result
-				r.Check(json.Unmarshal(reply.Result, &result), qt.IsNil)
-				r.Check(result.Digest, qt.Equals, standin.Digest(call.Body))
-				r.Check([]uint64{reply.Snapshot, reply.Oldest, reply.Newest}, qt.DeepEquals, []uint64{7, 5, 7})
+				h.Check(json.Unmarshal(reply.Result, &result), qt.IsNil)
+				h.Check(result.Digest, qt.Equals, standin.Digest(call.Body))
+				h.Check([]uint64{reply.Snapshot, reply.Oldest, reply.Newest}, qt.DeepEquals, []uint64{7, 5, 7})
 			})
 		}
 		wg.Wait()
-		r.Assert(r.server.Counts().Queries, qt.Equals, uint64(64))
-		r.Assert(r.client.Connections("r0") <= 3, qt.IsTrue)
+		h.Assert(h.server.Counts().Queries, qt.Equals, uint64(64))
+		h.Assert(h.client.Connections("r0") <= 3, qt.IsTrue)
 	})
 }
 
-func TestRefusalsStateWhatTheServerStated(t *testing.T) {
-	r := newRig(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{Slots: 1}, backend.Options{}, 2)
-	reply := r.do(func() backend.Call { c := r.call("old"); c.Snapshot = 4; return c }())
-	r.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_NO_SNAPSHOT)
-
-	r.server.Shed(true)
-	reply = r.do(r.execute("x1", "id1"))
-	r.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_SHED)
-	r.Assert(reply.Evidence, qt.Equals, notRun)
-
-	r.server.Drain(true)
-	reply = r.do(r.execute("x2", "id1"))
-	r.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_LEAVING)
-	r.Assert(reply.Evidence, qt.Equals, notRun)
-	r.Assert(reply.Draining, qt.IsTrue)
-	r.Assert(r.server.Runs("id1"), qt.Equals, 0)
-
-	r.client.SetConnections("r0", 0)
-	reply = r.do(r.execute("x3", "id1"))
-	r.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_LIMIT)
-	r.Assert(reply.Evidence, qt.Equals, notRun)
+func TestRefusalReturnsReasonAndEvidenceOfServer(t *testing.T) {
+	h := newHarness(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{Slots: 1}, backend.Options{}, 2)
+	reply := h.do(func() backend.Call { c := h.call("old"); c.Snapshot = 4; return c }())
+	h.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_NO_SNAPSHOT)
+
+	h.server.Shed(true)
+	reply = h.do(h.execute("x1", "id1"))
+	h.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_SHED)
+	h.Assert(reply.Evidence, qt.Equals, notRun)
+
+	h.server.Drain(true)
+	reply = h.do(h.execute("x2", "id1"))
+	h.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_LEAVING)
+	h.Assert(reply.Evidence, qt.Equals, notRun)
+	h.Assert(reply.Draining, qt.IsTrue)
+	h.Assert(h.server.Runs("id1"), qt.Equals, 0)
+
+	h.client.SetConnections("r0", 0)
+	reply = h.do(h.execute("x3", "id1"))
+	h.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_LIMIT)
+	h.Assert(reply.Evidence, qt.Equals, notRun)
 }
 
-func TestPollGivesTheState(t *testing.T) {
-	r := newRig(t, pb.Protocol_PROTOCOL_H2C, standin.Options{StartCold: true}, backend.Options{}, 1)
-	reply := r.client.Poll(t.Context(), r.replica)
-	r.Assert(reply.OK(), qt.IsTrue)
-	r.Assert(reply.Cold, qt.IsTrue)
-	r.Assert(reply.Incarnation, qt.Equals, "r0-1")
-	r.Assert(reply.Newest, qt.Equals, uint64(7))
+func TestPollReturnsReplicaState(t *testing.T) {
+	h := newHarness(t, pb.Protocol_PROTOCOL_H2C, standin.Options{StartCold: true}, backend.Options{}, 1)
+	reply := h.client.Poll(t.Context(), h.replica)
+	h.Assert(reply.OK(), qt.IsTrue)
+	h.Assert(reply.Cold, qt.IsTrue)
+	h.Assert(reply.Incarnation, qt.Equals, "r0-1")
+	h.Assert(reply.Newest, qt.Equals, uint64(7))
 }
 
-func TestACancelledExchangeThatEndsWithinTheBoundKeepsItsConnection(t *testing.T) {
-	// A hedge's loser is cancelled; its reply arrives a moment later. The caller
-	// has its answer at once, the late reply is read and dropped, and the
-	// connection is used again, because a new one costs milliseconds. The request
-	// counts as settled only when the replica is done with it.
-	r := newRig(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{}, backend.Options{CancelGrace: patience}, 1)
-	r.server.Hold()
+func TestCancelledExchangeWithinGraceKeepsConnection(t *testing.T) {
+	// Do must return at once on cancellation, the connection must be reused after the late
+	// reply, and OnRelease must not be called before the replica has finished.
+	h := newHarness(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{}, backend.Options{CancelGrace: testTimeout}, 1)
+	h.server.Hold()
 	ctx, cancel := context.WithCancel(context.Background())
-	settled := make(chan struct{})
-	call := r.call("loser")
-	call.OnRelease = func() { close(settled) }
+	released := make(chan struct{})
+	call := h.call("loser")
+	call.OnRelease = func() { close(released) }
 	done := make(chan backend.Reply, 1)
-	go func() { done <- r.client.Do(ctx, call) }()
-	r.eventually("the request runs", func() bool { return r.server.Counts().Queries == 1 })
+	go func() { done <- h.client.Do(ctx, call) }()
+	h.waitUntil("the request runs", func() bool { return h.server.Counts().Queries == 1 })
 	cancel()
 	reply := <-done
-	r.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_CANCELLED)
-	r.Assert(reply.Evidence, qt.Equals, unknown)
+	h.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_CANCELLED)
+	h.Assert(reply.Evidence, qt.Equals, unknown)
 	select {
-	case <-settled:
-		r.Fatal("settled while the replica still worked")
+	case <-released:
+		h.Fatal("released while the request was still running")
 	default:
 	}
-	r.server.Resume()
-	<-settled
-	r.Assert(r.do(r.call("next")).OK(), qt.IsTrue)
-	r.Assert(r.server.Counts().Accepted, qt.Equals, uint64(1))
+	h.server.Resume()
+	<-released
+	h.Assert(h.do(h.call("next")).OK(), qt.IsTrue)
+	h.Assert(h.server.Counts().Accepted, qt.Equals, uint64(1))
 }
--- a/node/backend/doc.go
+++ b/node/backend/doc.go
@@ -1,12 +1,12 @@
-// Package backend is the adapter to the backend servers: it keeps the
-// connections to each replica inside the node's share, carries one attempt over
-// one connection, and states with typed evidence whether the attempt can have
-// run.
+// Package backend sends attempts to backend servers. It keeps the node's share of
+// the connections to each replica, sends each attempt on one connection, and
+// reports evidence of whether the attempt can have run.
 //
-// Connections are net/http client connections (Transport.NewClientConn) in a
+// Connections are net/http client connections (Transport.NewClientConn) in one
 // pool for each replica. Transport.RoundTrip is not used: it retries replayable
-// requests by itself, hides which connection carried an attempt, and cannot
-// take one connection out of use. docs/design/backend-adapter.md weighs this.
+// requests by itself, does not report which connection carried an attempt, and
+// cannot remove a single connection from use. See docs/design/backend-adapter.md.
 //
-// Lock order: Client.mu, then pool.mu, then wire.mu. batch.mu is held with no other.
+// Lock order: Client.mu, then pool.mu, then netConn.mu. batch.mu is held with no
+// other lock.
 package backend
--- a/node/backend/exchange.go
+++ b/node/backend/exchange.go
@@ -22,9 +22,9 @@
 	// writes is the connection's write count before the request.
 	writes uint64
 	first  bool
-	// cut is set when the reply did not arrive in full.
-	cut bool
-	// deadline that the server was given; zero when there is none.
+	// truncated is set when the reply did not arrive completely.
+	truncated bool
+	// deadline sent to the server; zero if there is none.
 	deadline time.Time
 	sent     time.Time
 	cancel   context.CancelFunc
@@ -42,175 +42,176 @@
 		call:   call,
 		method: method,
 		path:   path,
-		writes: cn.wire.written(),
+		writes: cn.netConn.writeCount(),
 		first:  first,
 		sent:   time.Now(),
 		done:   make(chan Reply, 1),
 	}
 }
 
-// run carries the exchange until its reply or the end of ctx, whichever comes
-// first. stale is set when the connection had been closed before anything was
-// written; settled has not been called then.
-func (ex *exchange) run(ctx context.Context, settled func()) (reply Reply, stale bool) {
-	// The exchange outlives ctx by up to CancelGrace, so that a cancelled
-	// attempt whose reply is on its way does not cost its connection.
+// run performs the exchange and waits for its reply or the end of ctx, whichever
+// is first. stale is set when the connection was closed before anything was
+// written; onRelease has not been called in that case.
+func (ex *exchange) run(ctx context.Context, onRelease func()) (reply Reply, stale bool) {
+	// The exchange outlives ctx by up to CancelGrace, so that the connection can
+	// be kept if the reply to a cancelled attempt arrives within that time.
 	inner, cancel := context.WithCancel(context.Background())
 	ex.cancel = cancel
 	ex.deadline, _ = ctx.Deadline()
-	go ex.carry(ex.request(inner), settled)
-	silence := time.NewTimer(ex.pool.silenceAfter())
+	go ex.perform(ex.request(inner), onRelease)
+	silence := time.NewTimer(ex.pool.silenceTimeout())
 	defer silence.Stop()
 	for {
 		select {
 		case reply := <-ex.done:
 			return reply, reply.Reason == reasonStale
 		case <-ctx.Done():
-			return ex.abandon(ctx, settled), false
+			return ex.abandon(ctx, onRelease), false
 		case <-silence.C:
 			if !ex.call.Execute {
-				go ex.pool.examine(ex.conn, ex.sent)
+				go ex.pool.checkSilence(ex.conn, ex.sent)
 			}
 		}
 	}
 }
 
-// reasonStale marks, inside this package only, an exchange that can be begun
-// anew on another connection.
+// reasonStale is internal to this package. It marks an exchange that can be
+// repeated on another connection.
 const reasonStale = pb.Reason(-1)
 
-// carry performs the exchange, gives the connection back and delivers the reply.
-func (ex *exchange) carry(req *http.Request, settled func()) {
+// perform does the exchange, releases the connection and delivers the reply.
+func (ex *exchange) perform(req *http.Request, onRelease func()) {
 	defer ex.cancel()
 	reply, keep := ex.roundTrip(req)
 	reply.Took = time.Since(ex.sent)
 	reply.NewConnection = ex.first
 	if reply.OK() {
-		ex.pool.observe(reply.Took)
+		ex.pool.observeLatency(reply.Took)
 	}
 	ex.pool.release(ex.conn, keep)
 	if reply.Reason != reasonStale {
-		ex.settle(keep && !ex.cut, settled)
+		ex.scheduleRelease(keep && !ex.truncated, onRelease)
 	}
 	ex.done <- reply
 }
 
-// lateServer is how much later than its deadline a busy backend server may let go of a
-// request. A server that closes its end says so itself, mostly within a millisecond; one
-// that waits for a processor takes several times its deadline's usual lag.
-const lateServer = 100 * time.Millisecond
+// serverReleaseDelay is how long after its deadline, or after a stream reset, a busy
+// backend server may still work on a request. Under HTTP/1.1 a server that releases the
+// request earlier confirms that by closing its end of the connection.
+const serverReleaseDelay = 100 * time.Millisecond
 
-// settle calls settled when the backend server has let go of the request. After
-// a complete reply that is at once. Otherwise the server still runs it until it
-// has noticed the close, or until the deadline that it was given: releasing a
-// limit before that would put more in flight at a cold server than it bears.
-func (ex *exchange) settle(complete bool, settled func()) {
-	if complete || ex.conn.wire.unwritten(ex.writes) {
-		settled()
+// scheduleRelease calls onRelease when the backend server no longer works on the
+// request. After a complete reply that is at once. Otherwise the server works on
+// the request until it notices the close, or until the deadline it was given. An
+// earlier release could exceed the concurrency limit of a cold server. The wait is at
+// most CloseTimeout.
+func (ex *exchange) scheduleRelease(complete bool, onRelease func()) {
+	if complete || ex.conn.netConn.writesBlockedSince(ex.writes) {
+		onRelease()
 		return
 	}
 	wait := ex.pool.client.opts.CloseTimeout
 	if !ex.deadline.IsZero() {
-		wait = min(wait, max(0, time.Until(ex.deadline))+lateServer)
+		wait = min(wait, max(0, time.Until(ex.deadline))+serverReleaseDelay)
 	}
-	ended := ex.conn.wire.ended
+	peerClosed := ex.conn.netConn.peerClosed
 	if ex.pool.h2 {
-		// A stream's reset is not confirmed. A busy server takes as long to notice it as
-		// to notice a deadline.
-		wait = min(wait, lateServer)
+		// A stream reset is not confirmed. A busy server may notice the reset as late
+		// as it notices a deadline.
+		wait = min(wait, serverReleaseDelay)
 	}
 	go func() {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
-		case <-ended:
+		case <-peerClosed:
 		case <-timer.C:
 		}
-		settled()
+		onRelease()
 	}()
 }
 
-// abandon ends the wait for a reply because ctx has ended. A stream is reset at
-// once; an HTTP/1.1 connection is given CancelGrace before it is closed.
-func (ex *exchange) abandon(ctx context.Context, settled func()) Reply {
+// abandon returns the outcome of an exchange whose ctx has ended. A stream is reset
+// at once; an HTTP/1.1 connection is closed after CancelGrace.
+func (ex *exchange) abandon(ctx context.Context, onRelease func()) Reply {
 	reply := Reply{
 		Reason:        contextReason(ctx),
 		Evidence:      ex.evidence(),
 		Took:          time.Since(ex.sent),
 		NewConnection: ex.first,
 	}
-	bound := ex.pool.client.opts.CancelGrace
+	grace := ex.pool.client.opts.CancelGrace
 	if ex.pool.h2 || reply.Evidence == pb.Evidence_EVIDENCE_NOT_RUN {
-		bound = 0
+		grace = 0
 	}
-	timer := time.AfterFunc(max(bound, 0), ex.cancel)
+	timer := time.AfterFunc(max(grace, 0), ex.cancel)
 	go func() {
 		defer timer.Stop()
-		ex.settleLate(<-ex.done, settled)
+		ex.finishAbandoned(<-ex.done, onRelease)
 	}()
 	return reply
 }
 
-// settleLate deals with the end of an exchange that nobody waits for.
-func (ex *exchange) settleLate(late Reply, settled func()) {
+// finishAbandoned handles the end of an exchange after abandon.
+func (ex *exchange) finishAbandoned(late Reply, onRelease func()) {
 	if late.Reason == reasonStale {
-		settled()
+		onRelease()
 	}
 	if late.OK() {
-		ex.pool.client.stats.finished.Add(1)
+		ex.pool.client.stats.cancelledFinished.Add(1)
 		return
 	}
 	if ex.pool.h2 {
 		return
 	}
-	ex.pool.client.stats.closed.Add(1)
-	ex.pool.examineIfMute(ex.conn, ex.sent)
+	ex.pool.client.stats.cancelledClosed.Add(1)
+	ex.pool.checkSilenceAfterCancel(ex.conn, ex.sent)
 }
 
-// evidence states whether the request can have left. Under HTTP/2 other streams
-// write to the connection too, so that only doubt can be stated.
+// evidence reports whether the request can have been sent. Under HTTP/2 other
+// streams write to the same connection, so the result is always unknown.
 func (ex *exchange) evidence() pb.Evidence {
-	if !ex.pool.h2 && ex.conn.wire.seal(ex.writes) {
+	if !ex.pool.h2 && ex.conn.netConn.blockWrites(ex.writes) {
 		return pb.Evidence_EVIDENCE_NOT_RUN
 	}
 	return pb.Evidence_EVIDENCE_UNKNOWN
 }
 
-// roundTrip returns the reply and whether the connection can be used again.
+// roundTrip returns the reply and whether the connection can be reused.
 func (ex *exchange) roundTrip(req *http.Request) (reply Reply, keep bool) {
 	resp, err := ex.conn.cc.RoundTrip(req)
 	if err != nil {
-		ex.cut = true
-		return ex.failed(req.Context())
+		ex.truncated = true
+		return ex.failedReply(req.Context())
 	}
 	defer func() {
-		// What a failed close means for the connection, the pool sees by itself.
+		// The pool detects a broken connection by itself.
 		_ = resp.Body.Close()
 	}()
 	reply = parseState(resp.Header)
 	if ex.call.batch != nil && resp.StatusCode == http.StatusOK {
-		return ex.readItems(reply, resp.Body)
+		return ex.readReplies(reply, resp.Body)
 	}
 	limit := ex.pool.client.opts.MaxResultBytes
 	body, err := readBody(resp, limit+1)
 	if err != nil {
-		ex.cut = true
-		// The status line alone proves nothing when the reply was cut.
+		ex.truncated = true
+		// The status line alone is no evidence when the reply was truncated.
 		reply.Reason, reply.Evidence = pb.Reason_REASON_CONNECTION, pb.Evidence_EVIDENCE_UNKNOWN
 		return reply, ex.pool.h2
 	}
 	if ex.path == pathStatus {
 		return statusReply(reply, resp.StatusCode), true
 	}
-	parseAnswer(resp).judge(&reply, ex.call)
-	reply.BatchUnsupported = ex.call.batch != nil && unserved(resp.StatusCode)
+	parseReplyFields(resp).classify(&reply, ex.call)
+	reply.BatchUnsupported = ex.call.batch != nil && isUnsupported(resp.StatusCode)
 	if reply.Reason == pb.Reason_REASON_MISMATCH {
 		ex.pool.client.stats.mismatched.Add(1)
 		// Under HTTP/1.1 the connection's requests and replies are out of step.
 		return reply, ex.pool.h2
 	}
 	if int64(len(body)) > limit {
-		ex.cut = true
+		ex.truncated = true
 		reply.Reason = pb.Reason_REASON_BACKEND
 		return reply, ex.pool.h2
 	}
@@ -230,17 +231,18 @@
 	return body, err
 }
 
-// failed judges an exchange without a reply.
-func (ex *exchange) failed(ctx context.Context) (Reply, bool) {
+// failedReply returns the outcome of an exchange without a reply.
+func (ex *exchange) failedReply(ctx context.Context) (Reply, bool) {
 	reply := Reply{
 		Reason:   pb.Reason_REASON_CONNECTION,
 		Evidence: ex.evidence(),
-		Silent:   ex.pool.wasCondemned(ex.conn),
+		Silent:   ex.pool.wasClosedSilent(ex.conn),
 	}
 	if reply.Evidence == pb.Evidence_EVIDENCE_NOT_RUN && ctx.Err() == nil {
 		reply.Reason = reasonStale
 	}
-	// A stream that ends does not end its connection; pruning drops it if it did.
+	// The end of a stream does not close the HTTP/2 connection; pruneLocked removes
+	// the connection if it has failed.
 	return reply, ex.pool.h2
 }
 
@@ -261,7 +263,7 @@
 	} else {
 		ex.setHeaders(req.Header)
 	}
-	// GetBody stays unset: nothing may replay the request.
+	// GetBody stays unset, so that net/http cannot replay the request.
 	req.Body = io.NopCloser(bytes.NewReader(body))
 	req.ContentLength = int64(len(body))
 	if len(body) == 0 {
@@ -272,8 +274,8 @@
 
 const maxRequestHeaders = 8
 
-// setHeaders sets the call's headers. Their values share one array, since this
-// runs for every subrequest.
+// setHeaders sets the call's headers. The values share one array to save
+// allocations, since this runs for every subrequest.
 func (ex *exchange) setHeaders(h http.Header) {
 	call := ex.call
 	values := make([]string, 0, maxRequestHeaders)
--- a/node/backend/execute_test.go
+++ b/node/backend/execute_test.go
@@ -15,11 +15,10 @@
 	standin "github.com/carobmill/carobmill/standin/backend"
 )
 
-func TestAnExecuteIsSentOnceWhateverBreaks(t *testing.T) {
-	// The caller pays an entry fee; the connection, used before, breaks before
-	// the request runs, after it, or within the reply. The adapter must not send
-	// it again by itself, and must say "unknown", because from its side the three
-	// look alike.
+func TestExecuteIsSentOnceOnConnectionFailure(t *testing.T) {
+	// A non-idempotent request must not be sent again when its connection fails before
+	// the run, after the run or within the reply. The client cannot distinguish these, so
+	// the evidence must be unknown.
 	faults := []struct {
 		fault standin.Fault
 		runs  int
@@ -31,32 +30,31 @@
 		{standin.FaultCrossedReply, 1},
 		{standin.FaultBadHeaders, 1},
 	}
-	eachProtocol(t, func(t *testing.T, protocol pb.Protocol) {
-		r := newRig(t, protocol, standin.Options{}, backend.Options{}, 2)
+	forEachProtocol(t, func(t *testing.T, protocol pb.Protocol) {
+		h := newHarness(t, protocol, standin.Options{}, backend.Options{}, 2)
 		for i, f := range faults {
-			r.Assert(r.do(r.call(fmt.Sprint("warm", i))).OK(), qt.IsTrue)
-			r.server.SetFault(f.fault, 1)
+			h.Assert(h.do(h.call(fmt.Sprint("warm", i))).OK(), qt.IsTrue)
+			h.server.SetFault(f.fault, 1)
 			id := fmt.Sprint("id", i)
-			reply := r.do(r.execute(fmt.Sprint("x", i), id))
+			reply := h.do(h.execute(fmt.Sprint("x", i), id))
 			comment := qt.Commentf("fault %d: %+v", f.fault, reply)
-			r.Check(reply.OK(), qt.IsFalse, comment)
-			r.Check(reply.Evidence, qt.Equals, unknown, comment)
-			r.Check(reply.NewConnection, qt.Equals, false, comment)
-			r.Check(r.server.Runs(id), qt.Equals, f.runs, comment)
+			h.Check(reply.OK(), qt.IsFalse, comment)
+			h.Check(reply.Evidence, qt.Equals, unknown, comment)
+			h.Check(reply.NewConnection, qt.Equals, false, comment)
+			h.Check(h.server.Runs(id), qt.Equals, f.runs, comment)
 		}
 	})
 }
 
-func TestTransportAloneWouldRunAnExecuteTwice(t *testing.T) {
-	// Shows that the test above can fail: net/http's own pool takes a request
-	// with an Idempotency-Key for replayable and sends it again when a used
-	// connection breaks after the write. The caller would have paid twice.
-	r := newRig(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{}, backend.Options{}, 1)
+func TestHTTPTransportReplaysExecute(t *testing.T) {
+	// Verifies that the previous test can fail: the connection pool of net/http replays a
+	// request with an Idempotency-Key when a reused connection fails after the write.
+	h := newHarness(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{}, backend.Options{}, 1)
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
 	send := func(path, id string) error {
-		req, err := http.NewRequest(http.MethodPost, "http://"+r.server.Addr()+path, bytes.NewReader([]byte("{}")))
-		r.Assert(err, qt.IsNil)
+		req, err := http.NewRequest(http.MethodPost, "http://"+h.server.Addr()+path, bytes.NewReader([]byte("{}")))
+		h.Assert(err, qt.IsNil)
 		req.Header.Set("Idempotency-Key", id)
 		req.Header.Set("Carobmill-Shard", "s0")
 		req.Header.Set("Carobmill-Request-Id", id)
@@ -67,86 +65,85 @@
 		}
 		return err
 	}
-	r.Assert(send("/v1/query", "warm"), qt.IsNil)
-	r.server.SetFault(standin.FaultLostReply, 1)
-	r.Assert(send("/v1/execute", "fee"), qt.IsNil)
-	r.Assert(r.server.Runs("fee"), qt.Equals, 2)
+	h.Assert(send("/v1/query", "warm"), qt.IsNil)
+	h.server.SetFault(standin.FaultLostReply, 1)
+	h.Assert(send("/v1/execute", "fee"), qt.IsNil)
+	h.Assert(h.server.Runs("fee"), qt.Equals, 2)
 }
 
-func TestAResetWithinTheWriteIsUnknown(t *testing.T) {
-	// A penalty with a large body is cut after 64 KB: the server cannot have run
-	// it, but the adapter cannot know how much arrived.
-	r := newRig(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{}, backend.Options{}, 1)
-	r.Assert(r.do(r.call("warm")).OK(), qt.IsTrue)
-	r.server.ResetAfterBytes(64 << 10)
-	call := r.execute("x", "penalty")
+func TestResetDuringWriteHasUnknownEvidence(t *testing.T) {
+	// The server resets the connection after 64 KB of the request. The client cannot know
+	// how much arrived, so the evidence must be unknown.
+	h := newHarness(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{}, backend.Options{}, 1)
+	h.Assert(h.do(h.call("warm")).OK(), qt.IsTrue)
+	h.server.ResetAfterBytes(64 << 10)
+	call := h.execute("x", "penalty")
 	call.Body = []byte(strings.Repeat("x", 512<<10))
-	reply := r.do(call)
-	r.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_CONNECTION)
-	r.Assert(reply.Evidence, qt.Equals, unknown)
-	r.Assert(r.server.Runs("penalty"), qt.Equals, 0)
+	reply := h.do(call)
+	h.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_CONNECTION)
+	h.Assert(reply.Evidence, qt.Equals, unknown)
+	h.Assert(h.server.Runs("penalty"), qt.Equals, 0)
 }
 
-func TestAServerThatRefusesConnectionsHasRunNothing(t *testing.T) {
-	r := newRig(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{}, backend.Options{}, 1)
-	r.server.Close()
-	reply := r.do(r.execute("x", "id"))
-	r.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_CONNECTION)
-	r.Assert(reply.Evidence, qt.Equals, notRun)
+func TestRefusedConnectionIsReportedNotRun(t *testing.T) {
+	h := newHarness(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{}, backend.Options{}, 1)
+	h.server.Close()
+	reply := h.do(h.execute("x", "id"))
+	h.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_CONNECTION)
+	h.Assert(reply.Evidence, qt.Equals, notRun)
 }
 
-func TestEvidenceIsTrueWhileIdleConnectionsAreReset(t *testing.T) {
-	// Idle connections are reset at the very moment when enrolments are sent.
-	// Whether an enrolment met a closed connection, or one that closed under its
-	// write, "ran" must mean one run, "not run" none, and none may run twice.
-	eachProtocol(t, func(t *testing.T, protocol pb.Protocol) {
-		r := newRig(t, protocol, standin.Options{Slots: 4}, backend.Options{}, 3)
+func TestEvidenceMatchesRunsWhileConnectionsAreReset(t *testing.T) {
+	// Connections are reset while requests are sent. In each case "ran" must mean one run
+	// and "not run" none, and no request may run twice.
+	forEachProtocol(t, func(t *testing.T, protocol pb.Protocol) {
+		h := newHarness(t, protocol, standin.Options{Slots: 4}, backend.Options{}, 3)
 		outcomes := make(map[pb.Evidence]int)
 		for i := range 200 {
 			id := fmt.Sprint("id", i)
-			r.do(r.call("warm" + id))
+			h.do(h.call("warm" + id))
 			if i%2 == 0 {
-				go r.server.ResetConnections()
+				go h.server.ResetConnections()
 				time.Sleep(time.Duration(i%8) * 50 * time.Microsecond)
 			}
-			reply := r.do(r.execute("x"+id, id))
+			reply := h.do(h.execute("x"+id, id))
 			outcomes[reply.Evidence]++
-			runs := r.server.Runs(id)
+			runs := h.server.Runs(id)
 			switch reply.Evidence {
 			case ran:
-				r.Assert(runs, qt.Equals, 1)
+				h.Assert(runs, qt.Equals, 1)
 			case notRun:
-				r.Assert(runs, qt.Equals, 0)
+				h.Assert(runs, qt.Equals, 0)
 			default:
-				r.Assert(runs <= 1, qt.IsTrue)
+				h.Assert(runs <= 1, qt.IsTrue)
 			}
 		}
-		r.Assert(outcomes[ran] > 0, qt.IsTrue)
+		h.Assert(outcomes[ran] > 0, qt.IsTrue)
 		t.Logf("outcomes %v", outcomes)
 	})
 }
 
-func TestARefusalThatCrossedFromAnotherRequestProvesNothing(t *testing.T) {
-	// The reply to one request arrives as the answer to another. If it says "not
-	// run", that is true of the other request only.
-	r := newRig(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{}, backend.Options{}, 1)
-	r.server.Shed(true)
-	r.server.SetFault(standin.FaultCrossedReply, 1)
-	reply := r.do(r.execute("x", "id"))
-	r.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_MISMATCH)
-	r.Assert(reply.Evidence, qt.Equals, unknown)
+func TestRefusalOfAnotherRequestHasUnknownEvidence(t *testing.T) {
+	// A "not run" refusal that belongs to another request must not be accepted as evidence
+	// for this one.
+	h := newHarness(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{}, backend.Options{}, 1)
+	h.server.Shed(true)
+	h.server.SetFault(standin.FaultCrossedReply, 1)
+	reply := h.do(h.execute("x", "id"))
+	h.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_MISMATCH)
+	h.Assert(reply.Evidence, qt.Equals, unknown)
 }
 
-func TestARequestThatCannotBeWrittenHasNotRun(t *testing.T) {
-	// A line break in a header value would let a caller write headers of its own;
-	// net/http refuses it, and nothing is sent.
-	eachProtocol(t, func(t *testing.T, protocol pb.Protocol) {
-		r := newRig(t, protocol, standin.Options{}, backend.Options{}, 1)
-		reply := r.do(r.execute("x", "id\r\nCarobmill-Shard: s1"))
-		r.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_CONNECTION)
-		r.Assert(r.server.RunLog(), qt.HasLen, 0)
+func TestInvalidHeaderValueIsNotSent(t *testing.T) {
+	// A line break in a header value would allow a caller to inject headers; net/http
+	// rejects it, and nothing may be sent.
+	forEachProtocol(t, func(t *testing.T, protocol pb.Protocol) {
+		h := newHarness(t, protocol, standin.Options{}, backend.Options{}, 1)
+		reply := h.do(h.execute("x", "id\r\nCarobmill-Shard: s1"))
+		h.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_CONNECTION)
+		h.Assert(h.server.RunLog(), qt.HasLen, 0)
 		if protocol == pb.Protocol_PROTOCOL_HTTP1 {
-			r.Assert(reply.Evidence, qt.Equals, notRun)
+			h.Assert(reply.Evidence, qt.Equals, notRun)
 		}
 	})
 }
--- a/node/backend/forward.go
+++ b/node/backend/forward.go
@@ -16,35 +16,35 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
-// ForwardRequest is a caller's request on its way to one replica, byte for byte. It is used
-// once.
+// ForwardRequest is a caller's request that is passed to one replica unchanged. It
+// is used once.
 type ForwardRequest struct {
-	// Replica that it goes to; its name is the replica's ID.
+	// Replica to send to; its name is the replica's ID.
 	Replica *config.Replica
-	// RequestID of the caller's request, which the reply has to repeat.
+	// RequestID of the caller's request, which the reply must repeat.
 	RequestID string
 	Method    string
-	// Target is the request target as it was received, path and query.
+	// Target is the request target as received, path and query.
 	Target string
 	Host   string
-	// Header is shared between attempts and not changed.
+	// Header is shared between attempts and must not be modified.
 	Header http.Header
 	Body   []byte
-	// Deadline ends the work; the replica is told what is left.
+	// Deadline of the request; the replica receives the remaining time.
 	Deadline time.Time
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// ended is set when nobody waits for the reply any more.
-	ended bool
-	// stop ends the wait for a connection; nil while there is none.
-	stop context.CancelFunc
-	// wire carries the exchange; nil before and after.
-	wire *wire
-	done bool
+	// cancelled is set by Cancel.
+	cancelled bool
+	// cancelWait ends the wait for a connection; nil if there is no wait.
+	cancelWait context.CancelFunc
+	// conn carries the exchange; nil before and after it.
+	conn      *netConn
+	completed bool
 }
 
-// ForwardReply is what came of a Forward.
+// ForwardReply is the outcome of a ForwardRequest.
 type ForwardReply struct {
 	// Status is 0 when there was no complete reply.
 	Status   int
@@ -58,37 +58,37 @@
 	Took time.Duration
 }
 
-// ReplyMetadata is what a reply says beside its status and body.
+// ReplyMetadata is the part of a reply that depends on the Dialect.
 type ReplyMetadata struct {
-	// RequestID that the reply answers; empty when it does not say.
+	// RequestID that the reply answers; empty if the reply has none.
 	RequestID string
-	// NotRun is the replica's word that it did not run the request.
+	// NotRun is set when the replica states that it did not run the request.
 	NotRun bool
-	// OtherReplica is set when the reply came from a replica that was not meant.
+	// OtherReplica is set when another replica than the intended one replied.
 	OtherReplica bool
-	// Signature proves that the reply is the replica's own.
+	// Signature proves that the reply comes from the replica.
 	Signature string
 }
 
-// Dialect is the way in which backend servers speak beside plain HTTP.
+// Dialect maps request and reply metadata to the HTTP headers of a backend server.
 type Dialect interface {
-	// SetHeaders adds to a request's header for which replica it is meant and how long
-	// its caller will wait.
+	// SetHeaders adds the ID of the intended replica and the remaining time of the
+	// request.
 	SetHeaders(h http.Header, replicaID string, left time.Duration)
-	// Metadata reads what a reply says beside its status and body.
+	// Metadata reads the metadata of a reply.
 	Metadata(resp *http.Response) ReplyMetadata
 }
 
-// authorityPrefix begins a target whose first segment could be taken for an authority
-// when it is printed; it is parsed instead.
+// authorityPrefix starts a target whose first path segment would be printed as an
+// authority. Such a target is parsed instead of passed on as opaque.
 const authorityPrefix = "//"
 
 // Forward sends a request to a replica on one connection and returns its reply. It
-// never sends it twice: it takes another connection only after proof that nothing was
-// written on the one before.
+// never sends the request twice: it uses another connection only if nothing was
+// written to the previous one.
 func (c *Client) Forward(f *ForwardRequest, dialect Dialect) ForwardReply {
 	p := c.pool(f.Replica)
-	for range attemptsOnStale {
+	for range maxConnsPerAttempt {
 		cn, reason := p.acquireFor(f)
 		if cn == nil {
 			return ForwardReply{Reason: reason, Evidence: pb.Evidence_EVIDENCE_NOT_RUN}
@@ -101,54 +101,54 @@
 	return ForwardReply{Reason: pb.Reason_REASON_CONNECTION, Evidence: pb.Evidence_EVIDENCE_NOT_RUN}
 }
 
-// Cancel tells that nobody waits for the reply any more. A wait for a connection ends at
-// once; an exchange may go on for linger, so that its connection can be kept, and is
-// cut after that.
+// Cancel marks the reply as no longer needed. A wait for a connection ends at once.
+// An exchange may continue for linger, so that its connection can be kept, and is then
+// aborted.
 func (f *ForwardRequest) Cancel(linger time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.done {
+	if f.completed {
 		return
 	}
-	f.ended = true
+	f.cancelled = true
 	switch {
-	case f.stop != nil:
-		f.stop()
-	case f.wire == nil:
+	case f.cancelWait != nil:
+		f.cancelWait()
+	case f.conn == nil:
 	case linger <= 0:
-		f.wire.kill()
+		f.conn.closeNow()
 	default:
-		time.AfterFunc(linger, f.cut)
+		time.AfterFunc(linger, f.abort)
 	}
 }
 
-// cut ends the exchange that is still under way.
-func (f *ForwardRequest) cut() {
+// abort closes the connection of an exchange that is still in flight.
+func (f *ForwardRequest) abort() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.wire != nil {
-		f.wire.kill()
+	if f.conn != nil {
+		f.conn.closeNow()
 	}
 }
 
-// begin takes the connection for the exchange, unless nobody waits any more.
-func (f *ForwardRequest) begin(w *wire) bool {
+// attach sets the connection of the exchange, or returns false after Cancel.
+func (f *ForwardRequest) attach(nc *netConn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.ended {
+	if f.cancelled {
 		return false
 	}
-	f.wire = w
+	f.conn = nc
 	return true
 }
 
-// finish gives the connection back, and reports whether anybody waits for the reply.
-func (f *ForwardRequest) finish(done bool) (awaited bool) {
+// detach ends the exchange's use of the connection. It returns false after Cancel.
+func (f *ForwardRequest) detach(completed bool) (awaited bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.wire = nil
-	f.done = done
-	return !f.ended
+	f.conn = nil
+	f.completed = completed
+	return !f.cancelled
 }
 
 // waitContext returns the context of a wait for a connection.
@@ -156,23 +156,23 @@
 	ctx, cancel := context.WithDeadline(context.Background(), f.Deadline)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.ended {
+	if f.cancelled {
 		cancel()
 	}
-	f.stop = cancel
+	f.cancelWait = cancel
 	return ctx, func() {
 		f.mu.Lock()
-		f.stop = nil
+		f.cancelWait = nil
 		f.mu.Unlock()
 		cancel()
 	}
 }
 
-// acquireFor returns a connection, or nil and the reason why there is none.
+// acquireFor returns a connection, or nil and the reason why none is available.
 func (p *pool) acquireFor(f *ForwardRequest) (*conn, pb.Reason) {
 	p.mu.Lock()
 	if p.limit > 0 && len(p.waiters) == 0 {
-		if cn := p.takeLocked(); cn != nil {
+		if cn := p.tryAcquireLocked(); cn != nil {
 			p.mu.Unlock()
 			return cn, 0
 		}
@@ -193,33 +193,34 @@
 	if err != nil {
 		return false
 	}
-	// The connection has told what it was opened for.
+	// Only the dial matters; an error on close does not.
 	_ = conn.Close()
 	return true
 }
 
-// forward carries one exchange on a connection. stale is set when the connection had
-// been closed before anything was written.
+// forward performs one exchange on a connection. stale is set when the connection was
+// closed before anything was written.
 func (p *pool) forward(cn *conn, f *ForwardRequest, dialect Dialect) (reply ForwardReply, stale bool) {
-	if !f.begin(cn.wire) {
+	if !f.attach(cn.netConn) {
 		p.release(cn, true)
 		return ForwardReply{Reason: pb.Reason_REASON_CANCELLED, Evidence: pb.Evidence_EVIDENCE_NOT_RUN}, false
 	}
-	writes := cn.wire.written()
+	writes := cn.netConn.writeCount()
 	sent := time.Now()
 	resp, err := cn.cc.RoundTrip(f.request(p.address, dialect))
 	if err != nil {
-		return p.forwardFailed(cn, f, writes, sent)
+		return p.handleForwardError(cn, f, writes, sent)
 	}
 	reply = ForwardReply{Status: resp.StatusCode, Header: resp.Header, Metadata: dialect.Metadata(resp)}
 	limit := p.client.opts.MaxResultBytes
 	reply.Body, err = readBody(resp, limit+1)
 	_ = resp.Body.Close()
-	awaited := f.finish(true)
+	awaited := f.detach(true)
 	reply.Took = time.Since(sent)
-	// A late second answer to an earlier request would be taken for this one's, a
-	// refusal among them for a true "not run"; so one without an ID fits nothing.
-	misfit := reply.Metadata.RequestID != f.RequestID
+	// A late second reply to an earlier request could be mistaken for the reply to this
+	// one, and its refusal for a valid "not run". A reply without an ID is therefore
+	// rejected too.
+	mismatched := reply.Metadata.RequestID != f.RequestID
 	switch {
 	case err != nil || int64(len(reply.Body)) > limit:
 		p.release(cn, false)
@@ -227,16 +228,16 @@
 		if !awaited {
 			reason = pb.Reason_REASON_CANCELLED
 		}
-		// The status line alone proves nothing when the reply was cut.
+		// The status line alone is no evidence when the reply was truncated.
 		return failedForward(reason, reply.Took), false
-	case misfit:
+	case mismatched:
 		// The connection's requests and replies are out of step.
 		p.client.stats.mismatched.Add(1)
 		p.release(cn, false)
 		return failedForward(pb.Reason_REASON_MISMATCH, reply.Took), false
 	}
-	p.observe(reply.Took)
-	p.learnIdleTimeout(cn, resp.Header)
+	p.observeLatency(reply.Took)
+	p.recordIdleTimeout(cn, resp.Header)
 	p.release(cn, !resp.Close)
 	if reply.Metadata.NotRun || reply.Metadata.OtherReplica {
 		reply.Evidence = pb.Evidence_EVIDENCE_NOT_RUN
@@ -250,34 +251,36 @@
 	return ForwardReply{Reason: reason, Evidence: pb.Evidence_EVIDENCE_UNKNOWN, Took: took}
 }
 
-// forwardFailed judges an exchange without a reply and closes its connection.
-func (p *pool) forwardFailed(cn *conn, f *ForwardRequest, writes uint64, sent time.Time) (ForwardReply, bool) {
-	awaited := f.finish(false)
+// handleForwardError returns the outcome of an exchange without a reply and closes its
+// connection.
+func (p *pool) handleForwardError(cn *conn, f *ForwardRequest, writes uint64, sent time.Time) (ForwardReply, bool) {
+	awaited := f.detach(false)
 	reply := failedForward(pb.Reason_REASON_CONNECTION, time.Since(sent))
-	if cn.wire.seal(writes) {
+	if cn.netConn.blockWrites(writes) {
 		reply.Evidence = pb.Evidence_EVIDENCE_NOT_RUN
 	}
-	silent := !heard(cn, sent)
+	silent := !receivedSince(cn, sent)
 	p.release(cn, false)
 	if awaited {
 		return reply, reply.Evidence == pb.Evidence_EVIDENCE_NOT_RUN
 	}
 	reply.Reason = pb.Reason_REASON_CANCELLED
 	if silent {
-		p.closeUnheard(sent)
+		p.closeInactive(sent)
 	}
 	return reply, false
 }
 
-// closeUnheard closes idle connections that were opened before an exchange began that
-// got no byte, and have received nothing since: where a middlebox has dropped its state, each
-// of them would swallow one request. A replica that was only slow costs new connections.
-func (p *pool) closeUnheard(since time.Time) {
+// closeInactive closes idle connections that were opened before the given time and have
+// received nothing since. It is called after a cancelled exchange without any reply byte:
+// where a middlebox has dropped its state, each such connection would lose one request. If
+// the replica was only slow, new connections have to be opened.
+func (p *pool) closeInactive(since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.conns[:0]
 	for _, other := range p.conns {
-		if other.inFlight == 0 && !other.suspect && other.wire.start.Before(since) && !heard(other, since) {
+		if other.inFlight == 0 && !other.suspect && other.netConn.openedAt.Before(since) && !receivedSince(other, since) {
 			p.closeLocked(other)
 			continue
 		}
@@ -288,12 +291,12 @@
 	p.dialLocked()
 }
 
-// keepAliveMargin is taken off the idle time that a server states, so that a request
-// does not cross its close.
+// keepAliveMargin is subtracted from the idle timeout that a server reports, so that a
+// request is not sent while the server closes the connection.
 const keepAliveMargin = time.Second
 
-// learnIdleTimeout reads how long the server keeps an idle connection.
-func (p *pool) learnIdleTimeout(cn *conn, h http.Header) {
+// recordIdleTimeout reads the server's idle timeout from the Keep-Alive header.
+func (p *pool) recordIdleTimeout(cn *conn, h http.Header) {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
@@ -305,13 +308,13 @@
 		}
 		idle := time.Duration(seconds) * time.Second
 		p.mu.Lock()
-		cn.idleFor = max(idle-keepAliveMargin, idle/2)
+		cn.serverIdleTimeout = max(idle-keepAliveMargin, idle/2)
 		p.mu.Unlock()
 	}
 }
 
-// request builds one attempt. The target is passed on as it came: parsing and
-// printing it again could change its escapes.
+// request builds the HTTP request. The target is passed on as received: parsing and
+// printing it could change its escapes.
 func (f *ForwardRequest) request(address string, dialect Dialect) *http.Request {
 	req := new(http.Request)
 	req.Method = f.Method
@@ -326,7 +329,7 @@
 	req.Proto, req.ProtoMajor, req.ProtoMinor = "HTTP/1.1", 1, 1
 	req.Header = maps.Clone(f.Header)
 	dialect.SetHeaders(req.Header, f.Replica.Name, max(0, time.Until(f.Deadline)))
-	// GetBody stays unset: nothing may replay the request.
+	// GetBody stays unset, so that net/http cannot replay the request.
 	if len(f.Body) > 0 {
 		req.Body = io.NopCloser(bytes.NewReader(f.Body))
 		req.ContentLength = int64(len(f.Body))
--- a/node/backend/fuzz_test.go
+++ b/node/backend/fuzz_test.go
@@ -24,9 +24,9 @@
 	fuzzMaxResult = 1 << 10
 )
 
-// cannedServer opens connections whose other end reads a request, answers with the
-// same bytes each time and closes.
-func cannedServer(answer []byte) func(context.Context, string, string) (net.Conn, error) {
+// fixedReplyDialer dials connections whose server reads one request, writes the given
+// bytes and closes.
+func fixedReplyDialer(answer []byte) func(context.Context, string, string) (net.Conn, error) {
 	return func(context.Context, string, string) (net.Conn, error) {
 		client, server := net.Pipe()
 		go func() {
@@ -39,10 +39,9 @@
 	}
 }
 
-// FuzzReply feeds any bytes as the reply of a backend server to a query, an execute
-// and a status request. Only a reply that names the attempt gives a result or the
-// evidence "not run"; what is hinted at beside it stays within its bounds; the place
-// of each request is given back once.
+// FuzzReply checks arbitrary bytes as the reply to a query, an execute and a status
+// request. Only a reply that repeats the attempt ID may return a result or the evidence
+// "not run", hints must stay within their bounds, and OnRelease is called once.
 //
 // Long run: go test ./node/backend -run NONE -fuzz FuzzReply -fuzztime 10m
 func FuzzReply(f *testing.F) {
@@ -69,18 +68,18 @@
 	})
 }
 
-// fuzzRig is a client of one replica whose backend server answers with these bytes.
-func fuzzRig(reply []byte) (*backend.Client, *config.Replica) {
-	client := backend.New(backend.Options{Dial: cannedServer(reply), MaxResultBytes: fuzzMaxResult})
+// newFuzzClient returns a client of one replica whose server replies with these bytes.
+func newFuzzClient(reply []byte) (*backend.Client, *config.Replica) {
+	client := backend.New(backend.Options{Dial: fixedReplyDialer(reply), MaxResultBytes: fuzzMaxResult})
 	client.SetConnections("r0", 1)
 	return client, &config.Replica{Name: "r0", Address: "10.0.0.1:1", Service: &config.Service{Spec: &pb.Service{Protocol: pb.Protocol_PROTOCOL_HTTP1}}}
 }
 
 func fuzzCall(t *testing.T, reply []byte, execute bool) {
-	client, r := fuzzRig(reply)
-	var settled atomic.Int64
+	client, r := newFuzzClient(reply)
+	var releases atomic.Int64
 	call := benchCall(r, fuzzAttempt)
-	call.OnRelease = func() { settled.Add(1) }
+	call.OnRelease = func() { releases.Add(1) }
 	call.Execute = execute
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
@@ -93,11 +92,11 @@
 	case got.OK() && (!named || got.Snapshot != 7 || got.Generation != 1 || got.Evidence != ran):
 		t.Fatalf("result of another request: %+v", got)
 	case got.Evidence == notRun && (!named || !bytes.Contains(bytes.ToLower(reply), []byte("carobmill-not-run:"))):
-		t.Fatalf("no proof that it did not run: %+v", got)
+		t.Fatalf("not run without evidence: %+v", got)
 	case len(got.Result) > fuzzMaxResult:
 		t.Fatalf("result of %d bytes", len(got.Result))
-	case settled.Load() != 1:
-		t.Fatalf("settled %d times: %+v", settled.Load(), got)
+	case releases.Load() != 1:
+		t.Fatalf("released %d times: %+v", releases.Load(), got)
 	}
 	for _, reply := range []backend.Reply{got, polled} {
 		if reply.Oldest > reply.Newest || len(reply.Incarnation) > 128 || !(reply.Load >= 0 && reply.Load <= math.MaxFloat64) {
@@ -114,9 +113,9 @@
 	return out.Bytes()
 }
 
-// FuzzBatchReply feeds any bytes as the body of a batch's reply. Each item gets one
-// outcome; a result or the evidence "not run" only from a reply that names it; the
-// place of the batch is given back once.
+// FuzzBatchReply checks arbitrary bytes as the body of a batch's reply. Each item must
+// have one outcome, a result or the evidence "not run" only from a reply that repeats its
+// attempt ID, and OnRelease is called once.
 //
 // Long run: go test ./node/backend -run NONE -fuzz FuzzBatchReply -fuzztime 10m
 func FuzzBatchReply(f *testing.F) {
@@ -135,11 +134,11 @@
 
 func fuzzBatch(t *testing.T, body []byte) {
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/vnd.google.protobuf; encoding=delimited\r\nContent-Length: %d\r\n\r\n", len(body))
-	client, r := fuzzRig(append([]byte(head), body...))
+	client, r := newFuzzClient(append([]byte(head), body...))
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	var settled, done atomic.Int64
-	batch := backend.Batch{Replica: r, OnRelease: func() { settled.Add(1) }}
+	var releases, done atomic.Int64
+	batch := backend.Batch{Replica: r, OnRelease: func() { releases.Add(1) }}
 	for _, attempt := range []string{fuzzAttempt, fuzzAttempt + "-2"} {
 		batch.Items = append(batch.Items, backend.Item{Ctx: ctx, Call: benchCall(r, attempt), Done: func(got backend.Reply) {
 			done.Add(1)
@@ -152,7 +151,7 @@
 	client.DoBatch(batch)
 	client.Close()
 	time.Sleep(time.Minute)
-	if done.Load() != 2 || settled.Load() != 1 {
-		t.Fatalf("%d outcomes, settled %d times", done.Load(), settled.Load())
+	if done.Load() != 2 || releases.Load() != 1 {
+		t.Fatalf("%d outcomes, released %d times", done.Load(), releases.Load())
 	}
 }
--- a/node/backend/options.go
+++ b/node/backend/options.go
@@ -11,44 +11,44 @@
 	defaultDialTimeout     = time.Second
 	defaultMaxResultBytes  = 1 << 20
 	defaultIdleTimeout     = 90 * time.Second
-	defaultFinishBound     = 6 * time.Millisecond
-	defaultSilenceAfter    = 250 * time.Millisecond
+	defaultCancelGrace     = 6 * time.Millisecond
+	defaultSilenceTimeout  = 250 * time.Millisecond
 	defaultProbeTimeout    = 200 * time.Millisecond
-	defaultHoldClosed      = 30 * time.Second
-	defaultPingAfter       = time.Second
+	defaultCloseTimeout    = 30 * time.Second
+	defaultSendPingTimeout = time.Second
 	maxResponseHeaderBytes = 16 << 10
-	// streamsPerConnection stays under the 100 streams that HTTP/2 lets a
-	// client assume before the server's settings arrive.
+	// streamsPerConnection is the number of streams that an HTTP/2 client may assume
+	// before the server's settings arrive.
 	streamsPerConnection = 100
 )
 
-// Options configures a Client. The zero value takes the defaults.
+// Options configures a Client. Zero fields have defaults.
 type Options struct {
-	// Dial opens a TCP connection. The default uses TCP keepalive, so that the
-	// kernel finds most silent connections while they are idle.
+	// Dial opens a TCP connection. The default enables TCP keepalive, so that the
+	// kernel detects most silent connections while they are idle.
 	Dial        func(ctx context.Context, network, address string) (net.Conn, error)
 	DialTimeout time.Duration
 	// MaxResultBytes bounds the body of a reply.
 	MaxResultBytes int64
-	// IdleTimeout closes connections that carried nothing for so long.
+	// IdleTimeout closes connections that have been idle for longer.
 	IdleTimeout time.Duration
-	// CancelGrace is how long a cancelled HTTP/1.1 exchange may go on so that
-	// its connection can be kept; negative closes it at once. The default is
-	// what a new connection costs at the slowest services.
+	// CancelGrace is how long a cancelled HTTP/1.1 exchange may continue so that
+	// its connection can be kept; a negative value closes the connection at once.
+	// The default equals the connection setup time of the slowest services.
 	CancelGrace time.Duration
-	// SilenceTimeout is the least time without a byte after which an attempt's
-	// connection is examined. Four times the slowest recent reply of the
-	// replica raises it.
+	// SilenceTimeout is the minimum time without received data after which an
+	// attempt's connection is checked. If silenceFactor times the slowest recent
+	// reply of the replica is longer, that time applies.
 	SilenceTimeout time.Duration
-	// ProbeTimeout bounds a status request on a connection under examination.
+	// ProbeTimeout bounds a status request on a connection that is checked.
 	ProbeTimeout time.Duration
-	// CloseTimeout is how long a closed connection may count against the share
+	// CloseTimeout is how long a closed connection counts against the share
 	// while the backend server has not closed its end.
 	CloseTimeout time.Duration
-	// Event reports condemned connections to the decision ring; may be nil.
+	// Event records closed silent connections in the decision ring; may be nil.
 	Event func(kind, subject, detail string)
-	// OnDisconnect is called when a backend server closes a connection, idle or in use:
-	// it may have restarted. May be nil.
+	// OnDisconnect is called when a backend server closes a connection, idle or in
+	// use, possibly because of a restart. May be nil.
 	OnDisconnect func(replica string)
 }
 
@@ -64,10 +64,10 @@
 	}
 	setDefault(&o.DialTimeout, defaultDialTimeout)
 	setDefault(&o.IdleTimeout, defaultIdleTimeout)
-	setDefault(&o.CancelGrace, defaultFinishBound)
-	setDefault(&o.SilenceTimeout, defaultSilenceAfter)
+	setDefault(&o.CancelGrace, defaultCancelGrace)
+	setDefault(&o.SilenceTimeout, defaultSilenceTimeout)
 	setDefault(&o.ProbeTimeout, defaultProbeTimeout)
-	setDefault(&o.CloseTimeout, defaultHoldClosed)
+	setDefault(&o.CloseTimeout, defaultCloseTimeout)
 	if o.MaxResultBytes == 0 {
 		o.MaxResultBytes = defaultMaxResultBytes
 	}
--- a/node/backend/pool.go
+++ b/node/backend/pool.go
@@ -13,8 +13,8 @@
 )
 
 var (
-	errNoShare = errors.New("the node has no share of the replica's connections")
-	errShut    = errors.New("client is closed")
+	errNoShare      = errors.New("the node has no share of the replica's connections")
+	errClientClosed = errors.New("client is closed")
 )
 
 // pool holds the connections to one replica.
@@ -24,7 +24,7 @@
 	address string
 	h2      bool
 
-	// mu guards the fields below and those of conn that say so.
+	// mu guards the fields below and the marked fields of conn.
 	mu sync.Mutex
 	// limit is the node's share of the replica's connections.
 	limit int
@@ -34,16 +34,16 @@
 	dialling int
 	conns    []*conn
 	waiters  []chan grant
-	// slowest is a slowly falling maximum of the time that replies took.
-	slowest time.Duration
-	// examining is set while an examination for silent connections runs.
-	examining bool
+	// slowestReply is a slowly decaying maximum of the reply times.
+	slowestReply time.Duration
+	// checking is set while a check for silent connections runs.
+	checking bool
 }
 
 // conn is one connection of a pool.
 type conn struct {
-	wire *wire
-	cc   *http.ClientConn
+	netConn *netConn
+	cc      *http.ClientConn
 
 	// Guarded by pool.mu.
 	inFlight int
@@ -51,14 +51,14 @@
 	lastUsed time.Time
 	closed   bool
 	silent   bool
-	// suspect connections carry nothing until a probe has answered on them.
+	// suspect connections are not used until a probe has been answered on them.
 	suspect bool
-	// idleFor is how long the server keeps the connection while it is idle; 0 when
-	// it does not say.
-	idleFor time.Duration
+	// serverIdleTimeout is how long the server keeps the connection open while it is
+	// idle; 0 if not reported.
+	serverIdleTimeout time.Duration
 }
 
-// grant hands a connection, or the reason why there is none, to a waiter.
+// grant passes a connection, or the reason why none is available, to a waiter.
 type grant struct {
 	conn *conn
 	err  error
@@ -66,7 +66,7 @@
 
 func acquireReason(ctx context.Context, err error) pb.Reason {
 	switch {
-	case errors.Is(err, errNoShare), errors.Is(err, errShut):
+	case errors.Is(err, errNoShare), errors.Is(err, errClientClosed):
 		return pb.Reason_REASON_LIMIT
 	case ctx.Err() != nil:
 		return contextReason(ctx)
@@ -81,8 +81,8 @@
 	return pb.Reason_REASON_CANCELLED
 }
 
-// acquire returns a connection for one exchange, waiting in order of arrival
-// while the share is in use. Nothing has been sent when it fails.
+// acquire returns a connection for one exchange. While the share is in use, callers
+// wait in order of arrival. Nothing has been sent when it fails.
 func (p *pool) acquire(ctx context.Context) (*conn, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -93,7 +93,7 @@
 		return nil, errNoShare
 	}
 	if len(p.waiters) == 0 {
-		if cn := p.takeLocked(); cn != nil {
+		if cn := p.tryAcquireLocked(); cn != nil {
 			p.mu.Unlock()
 			return cn, nil
 		}
@@ -106,13 +106,13 @@
 	case g := <-w:
 		return g.conn, g.err
 	case <-ctx.Done():
-		p.giveUp(w)
+		p.removeWaiter(w)
 		return nil, ctx.Err()
 	}
 }
 
-// giveUp removes a waiter; a connection that it was granted meanwhile goes back.
-func (p *pool) giveUp(w chan grant) {
+// removeWaiter removes a waiter and releases a connection granted in the meantime.
+func (p *pool) removeWaiter(w chan grant) {
 	p.mu.Lock()
 	i := slices.Index(p.waiters, w)
 	if i >= 0 {
@@ -127,13 +127,13 @@
 	}
 }
 
-// takeLocked returns the connection with room that was used last, so that
-// surplus ones fall idle, or nil. Connections that the other end closed go.
-func (p *pool) takeLocked() *conn {
+// tryAcquireLocked returns the most recently used connection with capacity, so that
+// surplus ones become idle, or nil. It also prunes closed connections.
+func (p *pool) tryAcquireLocked() *conn {
 	p.pruneLocked()
 	var best *conn
 	for _, cn := range p.conns {
-		if cn.suspect || cn.inFlight >= p.room() {
+		if cn.suspect || cn.inFlight >= p.maxInFlight() {
 			continue
 		}
 		if best == nil || cn.lastUsed.After(best.lastUsed) {
@@ -147,23 +147,23 @@
 	return best
 }
 
-func (p *pool) room() int {
+func (p *pool) maxInFlight() int {
 	if p.h2 {
 		return streamsPerConnection
 	}
 	return 1
 }
 
-// pruneLocked drops connections that have failed, and idle ones that are old
-// or above the share.
+// pruneLocked removes connections that have failed, and idle ones that have timed
+// out or exceed the share.
 func (p *pool) pruneLocked() {
 	now := time.Now()
-	allowed := p.allowedLocked()
+	allowed := p.maxOpenLocked()
 	kept := len(p.conns)
 	p.conns = slices.DeleteFunc(p.conns, func(cn *conn) bool {
 		idle := cn.inFlight == 0 && !cn.suspect
 		surplus := idle && kept > allowed
-		old := idle && now.Sub(cn.lastUsed) > cn.keepFor(p.client.opts.IdleTimeout)
+		old := idle && now.Sub(cn.lastUsed) > cn.idleTimeout(p.client.opts.IdleTimeout)
 		if !cn.closed && !surplus && !old && cn.cc.Err() == nil {
 			return false
 		}
@@ -173,15 +173,15 @@
 	})
 }
 
-// keepFor is how long the connection is kept while it is idle.
-func (cn *conn) keepFor(own time.Duration) time.Duration {
-	if cn.idleFor > 0 {
-		return min(cn.idleFor, own)
+// idleTimeout returns how long the connection is kept while it is idle.
+func (cn *conn) idleTimeout(clientTimeout time.Duration) time.Duration {
+	if cn.serverIdleTimeout > 0 {
+		return min(cn.serverIdleTimeout, clientTimeout)
 	}
-	return own
+	return clientTimeout
 }
 
-// closeLocked closes a connection; its place in the share is free again when
+// closeLocked closes a connection. The connection counts against the share until
 // the backend server has closed its end too.
 func (p *pool) closeLocked(cn *conn) {
 	if cn.closed {
@@ -189,11 +189,11 @@
 	}
 	cn.closed = true
 	p.closing++
-	// The error of closing a connection that is given up tells nothing.
+	// Close errors do not matter: the connection is not used again.
 	_ = cn.cc.Close()
-	_ = cn.wire.Close()
+	_ = cn.netConn.Close()
 	go func() {
-		<-cn.wire.ended
+		<-cn.netConn.peerClosed
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.closing--
@@ -201,12 +201,12 @@
 	}()
 }
 
-// allowedLocked is how many connections may be open now: the share less those
-// closing, which still count at the backend server. While all are closing, a
-// reserve of a third can be opened, and no more until the server lets some go.
-// With K owners of floor(limit/(K+1)) connections each and K up to 3, all of them
-// silent and the reserve used is still within the limit.
-func (p *pool) allowedLocked() int {
+// maxOpenLocked returns how many connections may be open now: the share minus those
+// closing, which the backend server still counts. While all are closing, a reserve of
+// a third of the share may be opened, and no more until the server has closed some.
+// With K owners of floor(limit/(K+1)) connections each and K up to 3, the total stays
+// within the limit even if all connections are silent and the reserve is in use.
+func (p *pool) maxOpenLocked() int {
 	if p.limit <= 0 {
 		return 0
 	}
@@ -221,20 +221,20 @@
 	if p.h2 {
 		want = min(want, 1)
 	}
-	for p.dialling < want && len(p.conns)+p.dialling < p.allowedLocked() {
+	for p.dialling < want && len(p.conns)+p.dialling < p.maxOpenLocked() {
 		p.dialling++
 		go p.dial()
 	}
 }
 
-// dial opens one connection for whoever waits first when it is ready.
+// dial opens one connection and grants it to the waiters in order.
 func (p *pool) dial() {
 	cn, err := p.connect()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dialling--
 	if err != nil {
-		p.failLocked(err)
+		p.failWaitersLocked(err)
 		p.dialLocked()
 		return
 	}
@@ -247,7 +247,7 @@
 	p.dialLocked()
 }
 
-// connect opens a connection that is not in the pool yet.
+// connect opens a connection without adding it to the pool.
 func (p *pool) connect() (*conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.client.opts.DialTimeout)
 	defer cancel()
@@ -255,18 +255,19 @@
 	if p.h2 {
 		transport = p.client.h2c
 	}
-	slot := &wireSlot{lost: func() { p.client.opts.OnDisconnect(p.name) }}
-	cc, err := transport.NewClientConn(context.WithValue(ctx, wireKey{}, slot), "http", p.address)
+	result := &dialResult{onDisconnect: func() { p.client.opts.OnDisconnect(p.name) }}
+	cc, err := transport.NewClientConn(context.WithValue(ctx, dialResultKey{}, result), "http", p.address)
 	if err != nil {
 		p.client.stats.dialErrors.Add(1)
 		return nil, errors.Wrap(err, "dial")
 	}
 	p.client.stats.dialled.Add(1)
-	return &conn{wire: slot.wire, cc: cc, lastUsed: time.Now()}, nil
+	return &conn{netConn: result.conn, cc: cc, lastUsed: time.Now()}, nil
 }
 
-// failLocked tells the first waiter, or all that share the dial, that it failed.
-func (p *pool) failLocked(err error) {
+// failWaitersLocked passes a dial error to the first waiter, or under HTTP/2 to all
+// waiters, since they share the dial.
+func (p *pool) failWaitersLocked(err error) {
 	n := min(1, len(p.waiters))
 	if p.h2 {
 		n = len(p.waiters)
@@ -279,7 +280,7 @@
 
 func (p *pool) grantLocked() {
 	for len(p.waiters) > 0 {
-		cn := p.takeLocked()
+		cn := p.tryAcquireLocked()
 		if cn == nil {
 			return
 		}
@@ -288,7 +289,7 @@
 	}
 }
 
-// release gives a connection back after an exchange; unless keep, it is closed.
+// release returns a connection after an exchange, and closes it unless keep is set.
 func (p *pool) release(cn *conn, keep bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -325,14 +326,14 @@
 	p.dialLocked()
 }
 
-// shut closes every connection, also those in use.
-func (p *pool) shut() {
+// closeAll closes every connection, including those in use.
+func (p *pool) closeAll() {
 	p.setLimit(0)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, cn := range p.conns {
 		p.closeLocked(cn)
-		cn.wire.kill()
+		cn.netConn.closeNow()
 	}
 	p.conns = nil
 }
--- a/node/backend/reply.go
+++ b/node/backend/reply.go
@@ -33,12 +33,12 @@
 	stateDraining = "draining"
 )
 
-// maxIncarnation bounds the incarnation's length in bytes; a longer one is cut,
-// which still changes when it changes at the front.
+// maxIncarnation bounds the length of an incarnation in bytes. A longer one is
+// truncated; a restart is then detected only by a change within the bound.
 const maxIncarnation = 128
 
-// parseState reads the headers that every reply carries. They are hints: a
-// value that does not parse counts as not given.
+// parseState reads the headers that every reply has. They are hints: a value that
+// does not parse is treated as absent.
 func parseState(h http.Header) Reply {
 	var reply Reply
 	reply.Incarnation = h.Get(headerIncarnation)
@@ -70,52 +70,52 @@
 	return reply
 }
 
-// answer is what a reply says of itself, in its headers or as an item of a batch.
-type answer struct {
+// replyFields are the fields of a reply's headers, or of one reply in a batch.
+type replyFields struct {
 	status               int
 	notRun               bool
 	attempt, shard       string
 	snapshot, generation uint64
-	// unreadable is set when snapshot or generation did not parse.
-	unreadable bool
+	// malformed is set when snapshot or generation did not parse.
+	malformed bool
 }
 
-func parseAnswer(resp *http.Response) answer {
+func parseReplyFields(resp *http.Response) replyFields {
 	h := resp.Header
-	a := answer{
+	f := replyFields{
 		status:  resp.StatusCode,
 		notRun:  h.Get(headerNotRun) == "true",
 		attempt: h.Get(headerAttempt),
 		shard:   h.Get(headerShard),
 	}
 	var errSnapshot, errGeneration error
-	a.snapshot, errSnapshot = strconv.ParseUint(h.Get(headerSnapshot), 10, 64)
-	a.generation, errGeneration = strconv.ParseUint(h.Get(headerGeneration), 10, 64)
-	a.unreadable = errSnapshot != nil || errGeneration != nil
-	return a
+	f.snapshot, errSnapshot = strconv.ParseUint(h.Get(headerSnapshot), 10, 64)
+	f.generation, errGeneration = strconv.ParseUint(h.Get(headerGeneration), 10, 64)
+	f.malformed = errSnapshot != nil || errGeneration != nil
+	return f
 }
 
-// judge fills in what a complete reply proves. A reply counts only when it
-// repeats the attempt's id: one that crossed from another exchange must give
-// neither a result nor a false "not run".
-func (a answer) judge(reply *Reply, call *Call) {
+// classify sets the reason and evidence of a complete reply. Only a reply that
+// repeats the attempt ID is accepted: a reply that belongs to another exchange must
+// provide neither a result nor an invalid "not run".
+func (f replyFields) classify(reply *Reply, call *Call) {
 	reply.Evidence = pb.Evidence_EVIDENCE_UNKNOWN
-	if a.status == http.StatusOK {
-		a.judgeResult(reply, call)
+	if f.status == http.StatusOK {
+		f.classifyResult(reply, call)
 		return
 	}
-	if a.notRun && a.attempt != call.Attempt {
+	if f.notRun && f.attempt != call.Attempt {
 		reply.Reason = pb.Reason_REASON_MISMATCH
 		return
 	}
-	if a.notRun {
+	if f.notRun {
 		reply.Evidence = pb.Evidence_EVIDENCE_NOT_RUN
 	}
-	reply.Reason = refusalReason(a.status, a.notRun, reply.Draining)
+	reply.Reason = refusalReason(f.status, f.notRun, reply.Draining)
 }
 
-// unserved reports whether a status says that the path or its method is unknown.
-func unserved(status int) bool {
+// isUnsupported reports whether a status means that the path or its method is unknown.
+func isUnsupported(status int) bool {
 	return status == http.StatusNotFound || status == http.StatusMethodNotAllowed || status == http.StatusNotImplemented
 }
 
@@ -131,16 +131,16 @@
 	return pb.Reason_REASON_BACKEND
 }
 
-func (a answer) judgeResult(reply *Reply, call *Call) {
-	matches := !a.unreadable &&
-		a.attempt == call.Attempt &&
-		a.shard == call.Shard &&
-		(call.Snapshot == 0 || a.snapshot == call.Snapshot) &&
-		(call.Generation == 0 || a.generation == call.Generation)
+func (f replyFields) classifyResult(reply *Reply, call *Call) {
+	matches := !f.malformed &&
+		f.attempt == call.Attempt &&
+		f.shard == call.Shard &&
+		(call.Snapshot == 0 || f.snapshot == call.Snapshot) &&
+		(call.Generation == 0 || f.generation == call.Generation)
 	if !matches {
 		reply.Reason = pb.Reason_REASON_MISMATCH
 		return
 	}
-	reply.Snapshot, reply.Generation = a.snapshot, a.generation
+	reply.Snapshot, reply.Generation = f.snapshot, f.generation
 	reply.Evidence = pb.Evidence_EVIDENCE_RAN
 }
--- a/node/backend/silence.go
+++ b/node/backend/silence.go
@@ -6,105 +6,105 @@
 	"time"
 )
 
-// silenceFactor times the slowest recent reply is the time after which a
-// connection without a byte is examined.
+// silenceFactor times the slowest recent reply is the time without received data
+// after which a connection is checked.
 const silenceFactor = 4
 
-// slowestDecay is the part of the slowest recent reply that each reply leaves.
+// slowestDecay is the factor by which each reply reduces slowestReply.
 const slowestDecay = 0.98
 
-func (p *pool) observe(took time.Duration) {
+func (p *pool) observeLatency(took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.slowest = max(took, time.Duration(float64(p.slowest)*slowestDecay))
+	p.slowestReply = max(took, time.Duration(float64(p.slowestReply)*slowestDecay))
 }
 
-func (p *pool) silenceAfter() time.Duration {
+func (p *pool) silenceTimeout() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(p.client.opts.SilenceTimeout, silenceFactor*p.slowest)
+	return max(p.client.opts.SilenceTimeout, silenceFactor*p.slowestReply)
 }
 
-// examine finds out whether a connection without a byte since the given time has gone
-// silent. A slow replica shows no byte either, so that the connection is condemned only when
-// a newer one to the same replica has received something since. Then every other idle
-// connection from before is probed too: a lost state of the path costs one attempt, not one
-// for each connection.
-func (p *pool) examine(cn *conn, since time.Time) {
-	if heard(cn, since) || !p.beginExamination() {
+// checkSilence closes a connection that has received nothing since the given time, if the
+// replica itself works. A slow replica sends nothing either, so the connection is closed only
+// when a newer one to the same replica has received data since. All other idle connections
+// without data since that time are then probed too. Otherwise state lost by a middlebox would
+// cost one attempt for each connection.
+func (p *pool) checkSilence(cn *conn, since time.Time) {
+	if receivedSince(cn, since) || !p.beginCheck() {
 		return
 	}
-	defer p.endExamination()
-	if !p.newerWorks(cn, since) && !p.freshWorks() {
+	defer p.endCheck()
+	if !p.newerReceivedSince(cn, since) && !p.probeNewConn() {
 		return
 	}
-	if heard(cn, since) {
+	if receivedSince(cn, since) {
 		return
 	}
-	p.condemn(cn)
-	p.probeOthers(since)
+	p.closeSilent(cn)
+	p.probeIdle(since)
 }
 
-// examineIfMute examines after a cancelled exchange, unless any connection to
-// the replica has received something since it was sent: then one silent
-// connection was closed with the exchange, and the others are known to work or
-// will be examined when they are used.
-func (p *pool) examineIfMute(cn *conn, since time.Time) {
-	if heard(cn, since) || p.anyHeard(since) {
+// checkSilenceAfterCancel runs checkSilence after a cancelled exchange, unless a
+// connection to the replica has received data since the exchange was sent. In that
+// case the exchange has closed its own connection, and the others work or are
+// checked when they are used.
+func (p *pool) checkSilenceAfterCancel(cn *conn, since time.Time) {
+	if receivedSince(cn, since) || p.anyReceivedSince(since) {
 		return
 	}
-	p.examine(cn, since)
+	p.checkSilence(cn, since)
 }
 
-func heard(cn *conn, since time.Time) bool {
-	return cn.wire.lastRead().After(since)
+func receivedSince(cn *conn, since time.Time) bool {
+	return cn.netConn.lastRead().After(since)
 }
 
-func (p *pool) anyHeard(since time.Time) bool {
+func (p *pool) anyReceivedSince(since time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, cn := range p.conns {
-		if heard(cn, since) {
+		if receivedSince(cn, since) {
 			return true
 		}
 	}
 	return false
 }
 
-// beginExamination allows one examination at a time, so that many silent
-// connections cost one probe and not one each.
-func (p *pool) beginExamination() bool {
+// beginCheck allows one check at a time, so that many silent connections cause one
+// probe and not one each.
+func (p *pool) beginCheck() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.examining {
+	if p.checking {
 		return false
 	}
-	p.examining = true
+	p.checking = true
 	return true
 }
 
-func (p *pool) endExamination() {
+func (p *pool) endCheck() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.examining = false
+	p.checking = false
 }
 
-// newerWorks reports whether a connection opened after cn received something
-// since.
-func (p *pool) newerWorks(cn *conn, since time.Time) bool {
+// newerReceivedSince reports whether a connection opened after cn has received data
+// since the given time.
+func (p *pool) newerReceivedSince(cn *conn, since time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, other := range p.conns {
-		if other.wire.start.After(cn.wire.start) && other.wire.read.Load() > 0 && heard(other, since) {
+		if other.netConn.openedAt.After(cn.netConn.openedAt) && other.netConn.lastReadNanos.Load() > 0 && receivedSince(other, since) {
 			return true
 		}
 	}
 	return false
 }
 
-// freshWorks opens a connection inside the share and asks for the replica's
-// status on it. The connection stays in the pool, as the replacement.
-func (p *pool) freshWorks() bool {
+// probeNewConn opens a connection within the share and requests the replica's
+// status on it. If the probe succeeds, the connection is added to the pool.
+func (p *pool) probeNewConn() bool {
 	if !p.reserveDial() {
 		return false
 	}
@@ -125,18 +125,18 @@
 	return ok
 }
 
-// reserveDial makes room for one connection. With the share in use, the idle
-// connection that has been quiet for longest makes way.
+// reserveDial reserves capacity for one connection. If the share is in use, it
+// closes the idle connection whose last received data is the oldest.
 func (p *pool) reserveDial() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.limit <= 0 {
 		return false
 	}
-	if len(p.conns)+p.dialling >= p.allowedLocked() {
+	if len(p.conns)+p.dialling >= p.maxOpenLocked() {
 		oldest := -1
 		for i, cn := range p.conns {
-			if cn.inFlight == 0 && (oldest < 0 || cn.wire.lastRead().Before(p.conns[oldest].wire.lastRead())) {
+			if cn.inFlight == 0 && (oldest < 0 || cn.netConn.lastRead().Before(p.conns[oldest].netConn.lastRead())) {
 				oldest = i
 			}
 		}
@@ -150,43 +150,43 @@
 	return true
 }
 
-// probe asks for the status on one connection.
+// probe requests the replica's status on one connection.
 func (p *pool) probe(cn *conn) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), p.client.opts.ProbeTimeout)
 	defer cancel()
-	return p.probeWithin(ctx, cn)
+	return p.probeContext(ctx, cn)
 }
 
-func (p *pool) probeWithin(ctx context.Context, cn *conn) bool {
+func (p *pool) probeContext(ctx context.Context, cn *conn) bool {
 	ex := newExchange(p, cn, &Call{}, http.MethodGet, pathStatus)
 	reply, _ := ex.roundTrip(ex.request(ctx))
 	return reply.OK()
 }
 
-// condemn closes a silent connection. Its place in the share stays taken for
-// CloseTimeout, since the backend server does not notice the close.
-func (p *pool) condemn(cn *conn) {
-	p.client.stats.condemned.Add(1)
-	p.client.opts.Event("connection condemned", p.name, "silent while a newer connection works")
+// closeSilent closes a silent connection. The connection counts against the share
+// for CloseTimeout, since the backend server does not notice the close.
+func (p *pool) closeSilent(cn *conn) {
+	p.client.stats.silentClosed.Add(1)
+	p.client.opts.Event("connection condemned", p.name, "received no data while a newer connection works")
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cn.silent = true
 	p.closeLocked(cn)
 }
 
-func (p *pool) wasCondemned(cn *conn) bool {
+func (p *pool) wasClosedSilent(cn *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return cn.silent
 }
 
-// probeOthers takes every idle connection that received nothing since out of
-// use until it has answered a probe; those that do not answer are condemned.
-func (p *pool) probeOthers(since time.Time) {
+// probeIdle suspends every idle connection that has received nothing since the given
+// time until a probe is answered on it, and closes those without an answer.
+func (p *pool) probeIdle(since time.Time) {
 	p.mu.Lock()
 	var suspects []*conn
 	for _, cn := range p.conns {
-		if cn.inFlight == 0 && !heard(cn, since) {
+		if cn.inFlight == 0 && !receivedSince(cn, since) {
 			cn.suspect = true
 			suspects = append(suspects, cn)
 		}
@@ -196,7 +196,7 @@
 		go func() {
 			answered := p.probe(cn)
 			if !answered {
-				p.condemn(cn)
+				p.closeSilent(cn)
 			}
 			p.mu.Lock()
 			defer p.mu.Unlock()
