--- a/node/peer/fuzz_test.go
+++ b/node/peer/fuzz_test.go
@@ -61,7 +61,7 @@
 
 func (n *loneNode) Receive(e *pb.Envelope) error {
 	if e.GetFleet() != "test" {
-		return &fleet.OtherFleetError{Fleet: e.GetFleet()}
+		return &fleet.NameMismatchError{Fleet: e.GetFleet()}
 	}
 	return nil
 }
@@ -197,7 +197,7 @@
 	sent.Wait()
 	pool.Close()
 	switch {
-	case time.Since(began) > owner.MaxTime+time.Second:
+	case time.Since(began) > owner.MaxMessageDuration+time.Second:
 		t.Fatalf("held for %v", time.Since(began))
 	case n.wrong != "":
 		t.Fatalf("replica %q was asked", n.wrong)
