--- a/node/backend/exchange.go
+++ b/node/backend/exchange.go
@@ -54,7 +54,7 @@
 // written; onRelease has not been called in that case.
 func (ex *exchange) run(ctx context.Context, onRelease func()) (reply Reply, stale bool) {
 	// The exchange outlives ctx by up to CancelGrace, so that the connection can
-	// be kept if the reply to a cancelled attempt arrives within that time.
+	// be reused if the reply to a cancelled attempt arrives within that time.
 	inner, cancel := context.WithCancel(context.Background())
 	ex.cancel = cancel
 	ex.deadline, _ = ctx.Deadline()
--- a/node/backend/forward.go
+++ b/node/backend/forward.go
@@ -102,8 +102,8 @@
 }
 
 // Cancel marks the reply as no longer needed. A wait for a connection ends at once.
-// An exchange may continue for linger, so that its connection can be kept, and is then
-// aborted.
+// An exchange may continue for linger, so that its connection can be reused, and is
+// then aborted.
 func (f *ForwardRequest) Cancel(linger time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/node/backend/options.go
+++ b/node/backend/options.go
@@ -33,7 +33,7 @@
 	// IdleTimeout closes connections that have been idle for longer.
 	IdleTimeout time.Duration
 	// CancelGrace is how long a cancelled HTTP/1.1 exchange may continue so that
-	// its connection can be kept; a negative value closes the connection at once.
+	// its connection can be reused; a negative value closes the connection at once.
 	// The default equals the connection setup time of the slowest services.
 	CancelGrace time.Duration
 	// SilenceTimeout is the minimum time without received data after which an
--- a/node/backend/reply.go
+++ b/node/backend/reply.go
@@ -95,9 +95,9 @@
 	return f
 }
 
-// classify sets the reason and evidence of a complete reply. Only a reply that
-// repeats the attempt ID is accepted: a reply that belongs to another exchange must
-// provide neither a result nor an invalid "not run".
+// classify sets the reason and evidence of a complete reply. A result or a "not run"
+// is accepted only from a reply that repeats the attempt ID, since a reply to another
+// exchange proves nothing about this one.
 func (f replyFields) classify(reply *Reply, call *Call) {
 	reply.Evidence = pb.Evidence_EVIDENCE_UNKNOWN
 	if f.status == http.StatusOK {
