--- a/node/directory/directory.go
+++ b/node/directory/directory.go
@@ -13,16 +13,16 @@
 // Options of a Directory.
 type Options struct {
 	Store Store
-	// Node is this one, as it registers.
+	// Node is the registration of this node.
 	Node coordinator.Member
 	Log  logrus.FieldLogger
-	// RegisterAfter is how long the node has to follow the store before it registers, so
-	// that one that does so for a moment does not shrink the others' parts of the fleet's
-	// budgets for as long as a vanished node counts.
+	// RegisterAfter is how long the node follows the store before it registers. Without
+	// the delay, a node that follows the store briefly reduces the other nodes' shares of
+	// the fleet's budgets for as long as a removed registration still counts.
 	RegisterAfter time.Duration
-	// UpdateBound is the time within which news has to take effect; 0 for no bound.
+	// UpdateBound is the time within which store updates must take effect; 0 for no bound.
 	UpdateBound time.Duration
-	// Changed is called with each new view, one at a time; may be nil.
+	// Changed is called with each new view, one call at a time; may be nil.
 	Changed func(*View)
 }
 
@@ -31,32 +31,32 @@
 	opts  Options
 	view  atomic.Pointer[View]
 	fleet atomic.Pointer[coordinator.Fleet]
-	// following is open while the node follows the store and is registered.
+	// following is open while the node follows the store.
 	following *gate
 	synced    atomic.Bool
-	// unheardSince is the store's last answer while calls to it fail; nil while they do
-	// not. Kept as a time and not as a number, which would follow the VM's time of day
-	// when that jumps.
-	unheardSince atomic.Pointer[time.Time]
-	// reliedOn is when another node was last heard to rely on this one; nil for never.
+	// unansweredSince is the time of the store's last answer while calls to it fail; nil
+	// while they succeed. A time.Time has a monotonic reading, so that changes of the VM's
+	// wall clock do not affect it.
+	unansweredSince atomic.Pointer[time.Time]
+	// reliedOn is the time of the last MarkReliedOn; nil before the first one.
 	reliedOn atomic.Pointer[time.Time]
-	// hurry is signalled to end the pause between two watches.
-	hurry chan struct{}
-
-	// The rest belongs to the goroutine of Run.
-	state        *state
-	lastSuccess  time.Time
-	failing      bool
-	doubtfulTill time.Time
-	backoff      time.Duration
+	// pollNow is signalled to end the pause between two watches.
+	pollNow chan struct{}
+
+	// Only the goroutine of Run uses the fields below.
+	state            *state
+	lastSuccess      time.Time
+	failing          bool
+	outageGraceUntil time.Time
+	backoff          time.Duration
 }
 
-// New returns a directory that knows nothing yet.
+// New returns a directory without a view. It does not follow the store until Follow(true).
 func New(o Options) *Directory {
 	d := &Directory{
 		opts:      o,
 		following: newGate(),
-		hurry:     make(chan struct{}, 1),
+		pollNow:   make(chan struct{}, 1),
 		state:     newState(),
 		backoff:   minBackoff,
 	}
@@ -64,8 +64,8 @@
 	return d
 }
 
-// Follow makes the node follow the store and register there, or rest: then it calls the
-// store no more and knows nothing.
+// Follow starts or stops following the store and the node's registration there. While
+// stopped, the directory does not watch the store and has no view.
 func (d *Directory) Follow(on bool) {
 	if !d.following.set(on) {
 		return
@@ -81,39 +81,40 @@
 // Following reports whether the node follows the store.
 func (d *Directory) Following() bool { return d.following.isOpen() }
 
-// Synced reports whether the store was read since the node follows it. There may be no
-// configuration in it yet.
+// Synced reports whether the store has been read since following started. The store may
+// hold no configuration yet.
 func (d *Directory) Synced() bool { return d.synced.Load() }
 
-// Stale reports whether the store has not answered for so long that news may be missing.
+// Stale reports whether the store has not answered for so long that updates may be missing.
 func (d *Directory) Stale() bool {
-	since := d.unheardSince.Load()
+	since := d.unansweredSince.Load()
 	return since != nil && time.Since(*since) > staleAfter
 }
 
-// MarkReliedOn notes that another node relies on what this one knows. Its store may be in reach
-// when this one's has gone silent, and it must not miss news for that.
+// MarkReliedOn records that another node relies on this one for store updates. That node
+// may still reach the store when this one does not, so this one then has to detect the
+// loss of the store within UpdateBound.
 func (d *Directory) MarkReliedOn() {
 	now := time.Now()
 	d.reliedOn.Store(&now)
 }
 
-// PollNow asks the store at once instead of pausing between two watches, for a node that
-// has heard of a newer version.
+// PollNow ends the pause between two watches, for a node that was notified of a newer
+// version.
 func (d *Directory) PollNow() {
 	select {
-	case d.hurry <- struct{}{}:
+	case d.pollNow <- struct{}{}:
 	default:
 	}
 }
 
-// View returns the newest view, or nil before one configuration is known.
+// View returns the newest view, or nil before the first configuration was read.
 func (d *Directory) View() *View { return d.view.Load() }
 
-// Fleet returns the registered nodes that are known.
+// Fleet returns the registered nodes as of the last update.
 func (d *Directory) Fleet() coordinator.Fleet { return *d.fleet.Load() }
 
-// RegisteredNodes asks the store for the registered nodes. The answer may be seconds old.
+// RegisteredNodes reads the registered nodes from the store. The result may be seconds old.
 func (d *Directory) RegisteredNodes(ctx context.Context) (coordinator.Fleet, error) {
 	page, err := d.opts.Store.Nodes(ctx)
 	if err != nil {
@@ -128,8 +129,8 @@
 	return f, nil
 }
 
-// FleetSize returns the size of the fleet that shares its budgets, in units of this
-// node.
+// FleetSize returns the size of the fleet that shares the budgets, in units of this
+// node's capacity.
 func (d *Directory) FleetSize() float64 { return d.fleet.Load().SizeFor(d.opts.Node) }
 
 // Run follows the store until ctx ends.
@@ -137,7 +138,7 @@
 	d.lastSuccess = time.Now()
 	for ctx.Err() == nil {
 		if !d.following.isOpen() {
-			d.rest(ctx)
+			d.waitSuspended(ctx)
 			continue
 		}
 		var err error
@@ -150,36 +151,36 @@
 			return
 		}
 		if err != nil {
-			d.failed(ctx, err)
+			d.recordFailure(ctx, err)
 		}
 	}
 }
 
-// rest waits until the store is to be followed again. What is known by then is old, so
-// that it is read anew before anything is published.
-func (d *Directory) rest(ctx context.Context) {
+// waitSuspended discards the view and waits until following starts again. The store is then
+// read in full before a view is published, since the collected state is outdated.
+func (d *Directory) waitSuspended(ctx context.Context) {
 	d.synced.Store(false)
 	d.failing = false
-	d.unheardSince.Store(nil)
+	d.unansweredSince.Store(nil)
 	d.view.Store(nil)
 	d.following.wait(ctx, true)
 	d.lastSuccess = time.Now()
 }
 
-func (d *Directory) take(now time.Time, r Record) bool {
+func (d *Directory) apply(now time.Time, r Record) bool {
 	if r.DecodeError != nil {
 		d.opts.Log.WithError(r.DecodeError).WithFields(logrus.Fields{
 			"record": r.Name, "revision": r.Revision,
-		}).Warn("a record cannot be read: passed over")
+		}).Warn("a record cannot be read: skipped")
 	}
-	return d.state.take(now, r, now.Before(d.doubtfulTill))
+	return d.state.apply(now, r, now.Before(d.outageGraceUntil))
 }
 
-// publish makes a new view if something changed.
+// publish stores a new view if something changed, and passes it to Options.Changed.
 func (d *Directory) publish(changed bool) {
 	now := time.Now()
 	expired := d.state.replicas.Expire(now)
-	d.countNodes(now)
+	d.updateFleet(now)
 	if d.state.index == nil || !changed && !expired || !d.following.isOpen() {
 		return
 	}
@@ -196,8 +197,8 @@
 	}
 }
 
-// countNodes works out which nodes share the fleet's budgets.
-func (d *Directory) countNodes(now time.Time) {
+// updateFleet recomputes which nodes share the fleet's budgets.
+func (d *Directory) updateFleet(now time.Time) {
 	next := d.state.nodes.Fleet(now)
 	before := d.fleet.Swap(&next)
 	if len(before.Members) != len(next.Members) {
--- a/node/directory/read.go
+++ b/node/directory/read.go
@@ -8,22 +8,22 @@
 	"github.com/sirupsen/logrus"
 )
 
-// callTimeout bounds every call but a watch. The store answers within milliseconds, and
-// within a quarter of a second when it is slow.
+// callTimeout bounds every call other than a watch. A slow store answers within 250 ms.
 const callTimeout = time.Second
 
-// read reads the store as a whole: all areas together, since each call has its price.
+// read reads the whole store. One sequence of pages covers all areas, which needs fewer
+// calls than one sequence for each area.
 func (d *Directory) read(ctx context.Context) error {
 	began := time.Now()
 	var first, last uint64
 	listed := make(map[Area]map[string]bool)
 	changed := false
-	for more, after := true, ""; more; more = after != "" {
-		page, err := d.page(ctx, after)
+	for more, cursor := true, ""; more; more = cursor != "" {
+		page, err := d.readPage(ctx, cursor)
 		if err != nil {
 			return err
 		}
-		d.succeeded()
+		d.recordSuccess()
 		if first == 0 {
 			first = page.Revision
 		}
@@ -34,20 +34,20 @@
 				listed[r.Area] = make(map[string]bool)
 			}
 			listed[r.Area][r.Name] = true
-			changed = d.take(now, r) || changed
+			changed = d.apply(now, r) || changed
 		}
-		after = page.NextCursor
+		cursor = page.NextCursor
 	}
-	changed = d.keep(listed, first) || changed
-	// Pages are no snapshot: the watch goes on from the first of them, and what it
-	// tells again is older or the same.
+	changed = d.removeUnlisted(listed, first) || changed
+	// Pages are not a snapshot. The watch continues from the revision of the first page;
+	// records that it repeats are no newer than those already applied.
 	d.state.revision = max(d.state.revision, first)
 	if last > first {
-		more, err := d.catchUp(ctx)
+		late, err := d.catchUp(ctx)
 		if err != nil {
 			return err
 		}
-		changed = changed || more
+		changed = changed || late
 	}
 	d.synced.Store(true)
 	d.opts.Log.WithFields(logrus.Fields{
@@ -57,15 +57,14 @@
 	return nil
 }
 
-// catchUp takes what was written while the areas were read, in several pages: a node that
-// takes callers without it lacks replicas until its first watch has answered.
+// catchUp applies what was written while the pages were read. Without it, a node that
+// accepts callers lacks replicas until its first watch returns.
 func (d *Directory) catchUp(ctx context.Context) (changed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	page, err := d.opts.Store.Watch(ctx, d.state.revision, 0)
 	if errors.Is(err, ErrCompacted) {
-		// The history went meanwhile too. The watch that follows says so again, and
-		// everything is read anew.
+		// The next watch fails in the same way, which causes another full read.
 		return false, nil
 	}
 	if err != nil {
@@ -73,23 +72,23 @@
 	}
 	now := time.Now()
 	for _, r := range page.Records {
-		changed = d.take(now, r) || changed
+		changed = d.apply(now, r) || changed
 	}
 	d.state.revision = max(d.state.revision, page.Revision)
 	return changed, nil
 }
 
-func (d *Directory) page(ctx context.Context, after string) (Page, error) {
+func (d *Directory) readPage(ctx context.Context, cursor string) (Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return d.opts.Store.Read(ctx, after)
+	return d.opts.Store.Read(ctx, cursor)
 }
 
-// keep drops what a complete reading did not list.
-func (d *Directory) keep(listed map[Area]map[string]bool, revision uint64) (changed bool) {
+// removeUnlisted removes what a full read did not list.
+func (d *Directory) removeUnlisted(listed map[Area]map[string]bool, revision uint64) (changed bool) {
 	now := time.Now()
 	d.state.nodes.RemoveUnlisted(now, listed[AreaNodes], revision)
-	gone := d.state.replicas.RemoveMissing(now, listed[AreaReplicas], revision, now.Before(d.doubtfulTill))
-	back := d.state.keepOut(listed[AreaOperators])
-	return gone || back
+	replicasRemoved := d.state.replicas.RemoveMissing(now, listed[AreaReplicas], revision, now.Before(d.outageGraceUntil))
+	exclusionsRemoved := d.state.removeUnlistedExclusions(listed[AreaOperators])
+	return replicasRemoved || exclusionsRemoved
 }
--- a/node/directory/register.go
+++ b/node/directory/register.go
@@ -10,67 +10,66 @@
 )
 
 const (
-	// registrationTTL and renewEvery keep the node's registration; three renewals
-	// may fail in a row.
+	// registrationTTL allows three failed renewals in a row.
 	registrationTTL = 12 * time.Second
-	renewEvery      = 3 * time.Second
+	renewInterval   = 3 * time.Second
 )
 
-// Register keeps the node registered while it follows the store, until ctx ends, then
-// withdraws it.
+// Register keeps the node registered while it follows the store. It returns when ctx ends,
+// after it has revoked the registration.
 func (d *Directory) Register(ctx context.Context) {
 	var lease uint64
 	for ctx.Err() == nil {
 		if !d.following.isOpen() {
-			d.withdraw(ctx, lease)
+			d.deregister(ctx, lease)
 			lease = 0
 			d.following.wait(ctx, true)
 			d.following.waitFor(ctx, false, d.opts.RegisterAfter)
 			continue
 		}
-		lease = d.registerOnce(ctx, lease)
-		d.following.waitFor(ctx, false, renewEvery+rand.N(renewEvery/10))
+		lease = d.renewOrRegister(ctx, lease)
+		d.following.waitFor(ctx, false, renewInterval+rand.N(renewInterval/10))
 	}
-	d.withdraw(ctx, lease)
+	d.deregister(ctx, lease)
 }
 
-// withdraw ends a registration; lease 0 is none.
-func (d *Directory) withdraw(ctx context.Context, lease uint64) {
+// deregister revokes the lease of a registration. Lease 0 means that there is none.
+func (d *Directory) deregister(ctx context.Context, lease uint64) {
 	if lease == 0 {
 		return
 	}
-	ending, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
+	revokeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	if err := d.opts.Store.Revoke(ending, lease); err != nil {
-		d.opts.Log.WithError(err).Info("the registration was not withdrawn: it lapses by itself")
+	if err := d.opts.Store.Revoke(revokeCtx, lease); err != nil {
+		d.opts.Log.WithError(err).Info("node registration not revoked: it expires with its lease")
 	}
 }
 
-// registerOnce renews the registration, or makes a new one, and returns its lease; 0
-// when there is none.
-func (d *Directory) registerOnce(ctx context.Context, lease uint64) uint64 {
+// renewOrRegister renews the lease, or registers the node under a new one. It returns the
+// lease, or 0 when registration failed.
+func (d *Directory) renewOrRegister(ctx context.Context, lease uint64) uint64 {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if lease != 0 {
 		err := d.opts.Store.Renew(ctx, lease)
 		if !errors.Is(err, ErrLeaseEnded) {
-			// Without an answer the lease may live; it is renewed next time.
+			// Without an answer the lease may still be valid; the next call renews it.
 			return lease
 		}
 	}
 	lease, err := d.opts.Store.Register(ctx, d.opts.Node, registrationTTL)
 	if err != nil && ctx.Err() == nil {
-		d.opts.Log.WithError(err).Info("the node is not registered yet")
+		d.opts.Log.WithError(err).Info("node registration failed: trying again")
 	}
 	return lease
 }
 
-// gate is open or closed, and can be waited for. Safe for concurrent use.
+// gate is a flag whose changes can be awaited. Safe for concurrent use.
 type gate struct {
 	// mu guards the fields below.
 	mu   sync.Mutex
 	open bool
-	// changed is closed and replaced at each change.
+	// changed is closed and replaced whenever open changes.
 	changed chan struct{}
 }
 
@@ -95,7 +94,7 @@
 	return g.open
 }
 
-// wait returns when the gate is as wanted, or ctx ends.
+// wait returns when the gate has the given state, or ctx ends.
 func (g *gate) wait(ctx context.Context, open bool) {
 	for {
 		g.mu.Lock()
@@ -112,9 +111,9 @@
 	}
 }
 
-// waitFor is wait for at most that long.
-func (g *gate) waitFor(ctx context.Context, open bool, most time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, most)
+// waitFor is wait with a timeout.
+func (g *gate) waitFor(ctx context.Context, open bool, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	g.wait(ctx, open)
 }
--- a/node/directory/store.go
+++ b/node/directory/store.go
@@ -1,6 +1,6 @@
-// Package directory follows the operators' configuration, the replicas that register
-// themselves, the data centres that are out and the fleet's own nodes in the platform's
-// store, and publishes them as one immutable View.
+// Package directory watches the platform's store for the operators' configuration, the
+// registered replicas, the data centres excluded from service and the fleet's nodes. It
+// publishes configuration and replicas as one immutable View.
 package directory
 
 import (
@@ -14,12 +14,13 @@
 	"github.com/carobmill/carobmill/policy/route"
 )
 
-// Kinds of failure of a Store, to be tested with errors.Is. Any other error means that
-// the store did not answer.
+// Errors of a Store, to be tested with errors.Is. Any other error means that the store
+// did not answer.
 var (
-	// ErrCompacted: the history after the stated revision is gone; read anew.
+	// ErrCompacted: the history after the given revision was compacted; a full read is
+	// required.
 	ErrCompacted = errors.New("history was compacted")
-	// ErrLeaseEnded: the lease has lapsed or was revoked.
+	// ErrLeaseEnded: the lease has expired or was revoked.
 	ErrLeaseEnded = errors.New("lease has ended")
 )
 
@@ -33,50 +34,51 @@
 	AreaOperators
 )
 
-// Record is one item of the store, decoded. One of the pointers or names is set,
-// unless the record is removed or unreadable.
+// Record is one decoded item of the store. One of Configuration, Replica,
+// ExcludedDataCentre and Node is set, unless the record is removed or cannot be decoded.
 type Record struct {
 	Area Area
-	// Name identifies the record inside its area; for a replica its ID.
+	// Name identifies the record within its area. For a replica it is the ID.
 	Name     string
 	Revision uint64
 	Removed  bool
-	// DecodeError tells why a value could not be read. It names no replica to use.
+	// DecodeError is why the value could not be decoded.
 	DecodeError error
 
 	Configuration *route.Configuration
 	Replica       *registry.Replica
-	// ColdRemaining of the replica when the record was written.
+	// ColdRemaining is how much longer the replica is cold, as of when the record was
+	// written.
 	ColdRemaining time.Duration
-	// ExcludedDataCentre names a data centre that must get nothing.
+	// ExcludedDataCentre names a data centre whose replicas must get no requests.
 	ExcludedDataCentre string
 	Node               *coordinator.Member
 }
 
-// Page is a part of an area, or what has changed.
+// Page is a part of the store's records, or a set of changes.
 type Page struct {
 	Records []Record
-	// Revision of the store that the page reflects.
+	// Revision is the store's revision that the page reflects.
 	Revision uint64
-	// NextCursor is the mark to go on after; empty on the last page.
+	// NextCursor is the cursor of the next page; empty on the last page.
 	NextCursor string
 }
 
-// Store is the platform's store, in terms of the product. Implementations translate
-// and do not retry.
+// Store is the platform's store, in terms of this package. Implementations do not retry.
 type Store interface {
-	// Read returns the page of all areas that begins after a mark; the first one begins
-	// after none.
-	Read(ctx context.Context, after string) (Page, error)
-	// Watch waits until something changed after the revision, at most that long.
+	// Read returns the page, over all areas, that begins after a cursor. The first page
+	// begins after the empty cursor.
+	Read(ctx context.Context, cursor string) (Page, error)
+	// Watch returns the changes after a revision. It waits for the first one, at most for
+	// the given time.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (Page, error)
-	// Nodes returns the registered nodes; the answer may be seconds old, and costs a
-	// tenth of another reading.
+	// Nodes returns the registered nodes. The result may be seconds old; the call costs a
+	// tenth of a Read.
 	Nodes(ctx context.Context) (Page, error)
 	// Register registers a node under a new lease.
 	Register(ctx context.Context, node coordinator.Member, ttl time.Duration) (lease uint64, err error)
-	// Renew keeps a lease.
+	// Renew extends a lease. It fails with ErrLeaseEnded when the lease is no longer valid.
 	Renew(ctx context.Context, lease uint64) error
-	// Revoke ends a lease and what is registered under it.
+	// Revoke ends a lease and removes what is registered under it.
 	Revoke(ctx context.Context, lease uint64) error
 }
--- a/node/directory/view.go
+++ b/node/directory/view.go
@@ -8,71 +8,74 @@
 	"github.com/carobmill/carobmill/policy/route"
 )
 
-// View is what is known at one moment. Immutable.
+// View is the configuration and the usable replicas at one moment. Immutable.
 type View struct {
 	Index *route.Index
-	// Replicas that may get new requests, by service.
+	// Replicas holds those that may get new requests, by service.
 	Replicas map[string][]*registry.Replica
-	// Revision of the store that the view reflects, and when it was heard of.
+	// Revision is the store's revision that the view reflects, and At when the view was
+	// made.
 	Revision uint64
 	At       time.Time
 }
 
-// state is what the follower collects. Only its goroutine uses it.
+// state collects the store's records. Only the goroutine of Directory.Run uses it.
 type state struct {
 	replicas *registry.Table
-	// out maps the keys of data centres that are out to their names.
-	out map[string]string
-	// outRevisions and configRevision keep older records from undoing newer ones.
-	outRevisions   map[string]uint64
-	configRevision uint64
-	index          *route.Index
-	nodes          *coordinator.Registrations
-	revision       uint64
+	// excluded maps record names to the data centres that they exclude.
+	excluded map[string]string
+	// exclusionRevisions and configRevision prevent older records from overwriting newer
+	// ones.
+	exclusionRevisions map[string]uint64
+	configRevision     uint64
+	index              *route.Index
+	nodes              *coordinator.Registrations
+	revision           uint64
 }
 
 func newState() *state {
 	return &state{
-		replicas:     registry.NewTable(),
-		out:          make(map[string]string),
-		outRevisions: make(map[string]uint64),
-		nodes:        coordinator.NewRegistrations(),
+		replicas:           registry.NewTable(),
+		excluded:           make(map[string]string),
+		exclusionRevisions: make(map[string]uint64),
+		nodes:              coordinator.NewRegistrations(),
 	}
 }
 
 func (s *state) view(now time.Time) *View {
-	out := make(map[string]bool, len(s.out))
-	for _, name := range s.out {
-		out[name] = true
+	excluded := make(map[string]bool, len(s.excluded))
+	for _, name := range s.excluded {
+		excluded[name] = true
 	}
 	return &View{
 		Index:    s.index,
-		Replicas: s.replicas.Usable(out),
+		Replicas: s.replicas.Usable(excluded),
 		Revision: s.revision,
 		At:       now,
 	}
 }
 
-// take applies one record and reports whether the view changes. doubtful says that
-// entries may have vanished because the store was away.
-func (s *state) take(now time.Time, r Record, doubtful bool) bool {
+// apply applies one record and reports whether the view changes. afterOutage means that
+// records may be missing only because replicas could not renew them during an outage of
+// the store.
+func (s *state) apply(now time.Time, r Record, afterOutage bool) bool {
 	switch r.Area {
 	case AreaReplicas:
-		return s.takeReplica(now, r, doubtful)
+		return s.applyReplica(now, r, afterOutage)
 	case AreaNodes:
-		return s.takeNode(now, r)
+		return s.applyNode(now, r)
 	case AreaOperators:
-		return s.takeOperators(r)
+		return s.applyOperators(r)
 	}
 	return false
 }
 
-func (s *state) takeReplica(now time.Time, r Record, doubtful bool) bool {
+func (s *state) applyReplica(now time.Time, r Record, afterOutage bool) bool {
 	if r.Removed {
-		return s.replicas.Remove(now, r.Name, r.Revision, doubtful)
+		return s.replicas.Remove(now, r.Name, r.Revision, afterOutage)
 	}
 	if r.Replica == nil {
-		// Unreadable: it names no replica to use, so what it said before is void.
+		// A record that cannot be decoded replaces the replica's earlier record.
 		return s.replicas.Remove(now, r.Name, r.Revision, false)
 	}
 	replica := *r.Replica
@@ -82,7 +85,7 @@
 	return s.replicas.Put(replica, r.Revision)
 }
 
-func (s *state) takeNode(now time.Time, r Record) bool {
+func (s *state) applyNode(now time.Time, r Record) bool {
 	if r.Removed || r.Node == nil {
 		s.nodes.Remove(now, r.Name, r.Revision)
 		return false
@@ -90,7 +93,7 @@
 	return s.nodes.Put(r.Name, *r.Node, r.Revision)
 }
 
-func (s *state) takeOperators(r Record) bool {
+func (s *state) applyOperators(r Record) bool {
 	if r.Configuration != nil {
 		if s.index != nil && (r.Configuration.Version <= s.index.Version || r.Revision <= s.configRevision) {
 			return false
@@ -99,29 +102,30 @@
 		s.configRevision = r.Revision
 		return true
 	}
-	if r.Revision <= s.outRevisions[r.Name] {
+	if r.Revision <= s.exclusionRevisions[r.Name] {
 		return false
 	}
 	if r.Removed {
-		_, was := s.out[r.Name]
-		s.outRevisions[r.Name] = r.Revision
-		delete(s.out, r.Name)
-		return was
+		_, wasExcluded := s.excluded[r.Name]
+		s.exclusionRevisions[r.Name] = r.Revision
+		delete(s.excluded, r.Name)
+		return wasExcluded
 	}
 	if r.ExcludedDataCentre == "" {
 		return false
 	}
-	s.outRevisions[r.Name] = r.Revision
-	_, was := s.out[r.Name]
-	s.out[r.Name] = r.ExcludedDataCentre
-	return !was
+	s.exclusionRevisions[r.Name] = r.Revision
+	_, wasExcluded := s.excluded[r.Name]
+	s.excluded[r.Name] = r.ExcludedDataCentre
+	return !wasExcluded
 }
 
-// keepOut ends what a complete reading of the operators' area did not list.
-func (s *state) keepOut(listed map[string]bool) (changed bool) {
-	for key := range s.out {
+// removeUnlistedExclusions ends the exclusions that a full read of the operators' area
+// did not list.
+func (s *state) removeUnlistedExclusions(listed map[string]bool) (changed bool) {
+	for key := range s.excluded {
 		if !listed[key] {
-			delete(s.out, key)
+			delete(s.excluded, key)
 			changed = true
 		}
 	}
--- a/node/directory/watch.go
+++ b/node/directory/watch.go
@@ -11,85 +11,84 @@
 )
 
 const (
-	// longestWait is how long the store may be silent to a watch, the pause before it
-	// counted. A watch whose connection was forgotten on the way is noticed after
-	// longestWait + watchSlack, inside the 4 s that nodes have after such a loss before
-	// news is due again.
-	longestWait = 3 * time.Second
-	watchSlack  = 600 * time.Millisecond
-	// pace is the least time between two watch calls: the changes of a busy moment
-	// come in one answer, and each call has its price.
-	pace = time.Second
-	// minBackoff and maxBackoff bound the pause after a failed call; it is jittered
-	// so that the nodes do not return all at once.
+	// maxWatchWait bounds the time from the store's last answer to the end of the next
+	// watch, the pause in between included. A watch on a connection that was lost silently
+	// fails after maxWatchWait + watchTimeoutMargin, within the 4 s that a node has to
+	// receive updates again after such a loss.
+	maxWatchWait       = 3 * time.Second
+	watchTimeoutMargin = 600 * time.Millisecond
+	// minWatchInterval is the least time between the starts of two watches. It lets one
+	// answer carry several changes and bounds the rate of calls.
+	minWatchInterval = time.Second
+	// minBackoff and maxBackoff bound the backoff after a failed call, before jitter.
+	// Without jitter all nodes call a recovered store at the same moment.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 800 * time.Millisecond
-	// reaction is what is left of the time within which news has to take effect when a
-	// watch that waits is noticed to be silent: its slack, and half a second until the
-	// nodes that rely on this one have gone to others.
-	reaction = watchSlack + 600*time.Millisecond
-	// minWait bounds a watch's wait from below.
-	minWait = 500 * time.Millisecond
-	// reliedFor is how long a node counts as relied on after another one's heartbeat.
-	reliedFor = 5 * time.Second
-	// staleAfter is how long the store may fail to answer before this node says that its
-	// news is old: a lost answer or two are made good within it.
+	// staleReactionTime is the part of Options.UpdateBound that follows the wait of an
+	// unanswered watch: the watch's timeout margin, and the time in which the nodes that
+	// rely on this one switch to other nodes.
+	staleReactionTime = watchTimeoutMargin + 600*time.Millisecond
+	minWatchWait      = 500 * time.Millisecond
+	// relianceTTL is how long a node counts as relied on after another node's heartbeat.
+	relianceTTL = 5 * time.Second
+	// staleAfter is how long the store may fail to answer before the node reports itself
+	// stale. One or two lost answers are retried within it.
 	staleAfter = 700 * time.Millisecond
-	// retryWait is how long a watch waits while the store fails to answer. A watch that
-	// was sent during an outage may never be answered, and holds this node up for all of
-	// its time, while its senders follow the store by themselves.
-	retryWait = 500 * time.Millisecond
-	// outageAfter is the silence of the store from which entries may have lapsed
-	// because their replicas could not renew them, and doubtFor how long after the
-	// store's return a missing entry counts as doubtful.
-	outageAfter = 3800 * time.Millisecond
-	doubtFor    = 2500 * time.Millisecond
+	// failingWatchWait is the wait of a watch while calls to the store fail. A watch sent
+	// during an outage may never be answered, and delays the detection of the store's
+	// recovery until its timeout.
+	failingWatchWait = 500 * time.Millisecond
+	// outageThreshold is the length of an outage of the store from which records may have
+	// expired because replicas could not renew them. For outageGrace after such an outage,
+	// a removed replica stays usable for registry.VanishedGrace.
+	outageThreshold = 3800 * time.Millisecond
+	outageGrace     = 2500 * time.Millisecond
 )
 
 // watch waits for changes and applies them.
 func (d *Directory) watch(ctx context.Context) error {
-	asked := time.Now()
-	page, err := d.changes(ctx)
+	started := time.Now()
+	page, err := d.nextChanges(ctx)
 	if errors.Is(err, ErrCompacted) {
-		d.opts.Log.WithField("revision", d.state.revision).Info("the store dropped its history: reading anew")
+		d.opts.Log.WithField("revision", d.state.revision).Info("the store has compacted its history: reading all records")
 		d.synced.Store(false)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	d.succeeded()
+	d.recordSuccess()
 	now := time.Now()
 	changed := false
 	for _, r := range page.Records {
-		changed = d.take(now, r) || changed
+		changed = d.apply(now, r) || changed
 	}
 	d.state.revision = max(d.state.revision, page.Revision)
 	d.publish(changed)
-	d.pause(ctx, time.Until(asked.Add(pace)))
+	d.pause(ctx, time.Until(started.Add(minWatchInterval)))
 	return nil
 }
 
-func (d *Directory) changes(ctx context.Context) (Page, error) {
-	wait := longestWait
+func (d *Directory) nextChanges(ctx context.Context) (Page, error) {
+	wait := maxWatchWait
 	if d.failing {
-		wait = retryWait
+		wait = failingWatchWait
 	}
 	last := d.reliedOn.Load()
-	relied := last != nil && time.Since(*last) < reliedFor
+	relied := last != nil && time.Since(*last) < relianceTTL
 	if relied && d.opts.UpdateBound > 0 {
-		wait = min(wait, d.opts.UpdateBound-reaction)
+		wait = min(wait, d.opts.UpdateBound-staleReactionTime)
 	}
-	wait = max(wait-time.Since(d.lastSuccess), minWait)
+	wait = max(wait-time.Since(d.lastSuccess), minWatchWait)
 	if next := d.state.replicas.NextExpiry(); !next.IsZero() {
-		wait = min(wait, max(time.Until(next), minWait))
+		wait = min(wait, max(time.Until(next), minWatchWait))
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+watchSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+watchTimeoutMargin)
 	defer cancel()
 	return d.opts.Store.Watch(ctx, d.state.revision, wait)
 }
 
-// pause waits between two watches, unless somebody is in a hurry.
+// pause waits between two watches. PollNow ends it.
 func (d *Directory) pause(ctx context.Context, wait time.Duration) {
 	if wait <= 0 {
 		return
@@ -99,34 +98,34 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-d.hurry:
+	case <-d.pollNow:
 	}
 }
 
-// succeeded notes that the store answers.
-func (d *Directory) succeeded() {
+// recordSuccess records an answer of the store.
+func (d *Directory) recordSuccess() {
 	now := time.Now()
 	if d.failing {
-		away := now.Sub(d.lastSuccess)
-		if away >= outageAfter {
-			d.doubtfulTill = now.Add(doubtFor)
+		outage := now.Sub(d.lastSuccess)
+		if outage >= outageThreshold {
+			d.outageGraceUntil = now.Add(outageGrace)
 		}
-		d.opts.Log.WithField("away_ms", away.Milliseconds()).Info("the store answers again")
+		d.opts.Log.WithField("away_ms", outage.Milliseconds()).Info("the store answers again")
 	}
 	d.failing = false
-	d.unheardSince.Store(nil)
+	d.unansweredSince.Store(nil)
 	d.lastSuccess = now
 	d.backoff = minBackoff
 }
 
-// failed pauses after a failed call; what is known stays in use.
-func (d *Directory) failed(ctx context.Context, err error) {
+// recordFailure records a failed call and waits for the backoff. The view stays in use.
+func (d *Directory) recordFailure(ctx context.Context, err error) {
 	if !d.failing {
-		d.opts.Log.WithError(err).WithField("revision", d.state.revision).Warn("the store does not answer: going on with what is known")
+		d.opts.Log.WithError(err).WithField("revision", d.state.revision).Warn("the store does not answer: the last view stays in use")
 	}
 	if !d.failing {
 		last := d.lastSuccess
-		d.unheardSince.Store(&last)
+		d.unansweredSince.Store(&last)
 	}
 	d.failing = true
 	d.publish(false)
