--- a/node/forward/answer.go
+++ b/node/forward/answer.go
@@ -8,45 +8,45 @@
 	"github.com/carobmill/carobmill/policy/gather"
 )
 
-// finish makes the answer.
-func (q *run) finish(verdict gather.Decision) Answer {
-	a := q.answer(verdict)
+// finish returns the answer for a decision and logs the request.
+func (q *exchange) finish(decision gather.Decision) Answer {
+	a := q.answer(decision)
 	q.log(&a)
 	return a
 }
 
-func (q *run) answer(verdict gather.Decision) Answer {
-	if verdict == gather.Success {
+func (q *exchange) answer(decision gather.Decision) Answer {
+	if decision == gather.Success {
 		if q.route.Gathers() {
 			return q.merge()
 		}
 		part := q.parts[0]
 		return Answer{Outcome: Passed, Status: part.Status, Header: part.Header, Body: part.Body}
 	}
-	if len(q.story) > 0 {
-		q.noteOutstanding()
+	if len(q.attempts) > 0 {
+		q.countOutstandingAsRun()
 	}
 	switch {
-	case !q.ran:
+	case !q.mayHaveRun:
 		return Answer{Outcome: NotRun, RetryAfter: q.retryAfter()}
-	case verdict == gather.DeadlineExceeded:
+	case decision == gather.DeadlineExceeded:
 		return Answer{Outcome: Late}
-	case !q.route.Gathers() && q.last != nil:
-		return Answer{Outcome: Passed, Status: q.last.Status, Header: q.last.Header, Body: q.last.Body}
+	case !q.route.Gathers() && q.lastFailure != nil:
+		return Answer{Outcome: Passed, Status: q.lastFailure.Status, Header: q.lastFailure.Header, Body: q.lastFailure.Body}
 	}
 	return Answer{Outcome: Failed}
 }
 
-// noteOutstanding counts attempts that are out as possibly run.
-func (q *run) noteOutstanding() {
-	for i := range q.story {
-		if !q.story[i].ended {
-			q.ran = true
+// countOutstandingAsRun counts attempts that are in flight as possibly run.
+func (q *exchange) countOutstandingAsRun() {
+	for i := range q.attempts {
+		if !q.attempts[i].ended {
+			q.mayHaveRun = true
 		}
 	}
 }
 
-func (q *run) merge() Answer {
+func (q *exchange) merge() Answer {
 	a := Answer{Outcome: Merged, Status: http.StatusOK}
 	bodies := make([][]byte, 0, len(q.parts))
 	for i := range q.parts {
@@ -57,29 +57,29 @@
 		a.Signatures = append(a.Signatures, q.parts[i].Notes.Signature)
 		bodies = append(bodies, q.parts[i].Body)
 	}
-	bodies = append(bodies, q.groups...)
+	bodies = append(bodies, q.mergedRecords...)
 	a.Body = gather.Greatest(bodies, q.route.TopRecords)
 	return a
 }
 
 const (
-	// minRetryAfter and maxRetryAfter bound what a refused caller is told. A replica
-	// that refuses has a queue of a few requests, which is worked off in a tenth of a
-	// second or two.
+	// minRetryAfter and maxRetryAfter bound the delay that a refused caller gets. A replica
+	// that refuses has a queue of a few requests, which drains in 100 to 200 ms.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = time.Second
 )
 
-// retryAfter tells a caller whose request has not run when to come back: after a few
-// requests' time at the slowest of its services, and not all at the same moment.
-func (q *run) retryAfter() time.Duration {
+// retryAfter returns the delay after which a request that was not run may be repeated: at
+// least twice the baseline latency of the slowest of its services, with jitter, so that
+// refused callers do not return at the same moment.
+func (q *exchange) retryAfter() time.Duration {
 	wait := minRetryAfter
 	for _, s := range q.services {
 		if s == nil {
 			continue
 		}
 		s.mu.Lock()
-		wait = max(wait, 2*s.set.BaselineLatency(q.route.Name))
+		wait = max(wait, 2*s.balancer.BaselineLatency(q.route.Name))
 		s.mu.Unlock()
 	}
 	return min(wait+rand.N(wait), maxRetryAfter)
--- a/node/forward/attempt.go
+++ b/node/forward/attempt.go
@@ -11,66 +11,67 @@
 	"github.com/carobmill/carobmill/policy/upstream"
 )
 
-// send sends an attempt for a shard and reports whether it could.
-func (q *run) send(i int, hedge bool) bool {
+// send sends an attempt for a shard and reports whether it was sent.
+func (q *exchange) send(i int, hedge bool) bool {
 	if !q.reserve(i, hedge) {
 		return false
 	}
-	q.launch(len(q.story) - 1)
+	q.launch(len(q.attempts) - 1)
 	return true
 }
 
-// sendAgain sends an attempt to a replica that refused one, or to another one if there
-// may be more, and reports whether it could.
-func (q *run) sendAgain(i int) bool {
-	request := q.pickFor(i, false, q.f.opts.Source.FleetSize())
+// sendRetry sends an attempt to a replica that refused one, or to an untried replica if the
+// shard may use another one. It reports whether the attempt was sent.
+func (q *exchange) sendRetry(i int) bool {
+	request := q.pickRequest(i, false, q.f.opts.Source.FleetSize())
 	more := q.query.HasUntriedReplica(i)
 	request.Tried = func(id string) bool {
 		tried, refused := q.tried(i, id)
 		return tried && !refused || !tried && !more
 	}
-	if !q.reserveBy(i, request) {
+	if !q.reserveWith(i, request) {
 		return false
 	}
-	q.launch(len(q.story) - 1)
+	q.launch(len(q.attempts) - 1)
 	return true
 }
 
-// reserve chooses a replica for an attempt, which launch sends.
-func (q *run) reserve(i int, hedge bool) bool {
-	return q.reserveBy(i, q.pickFor(i, hedge, q.f.opts.Source.FleetSize()))
+// reserve chooses a replica for an attempt, which launch sends. It reports whether there is
+// one.
+func (q *exchange) reserve(i int, hedge bool) bool {
+	return q.reserveWith(i, q.pickRequest(i, hedge, q.f.opts.Source.FleetSize()))
 }
 
-// reserveBy chooses a replica for an attempt. Every attempt but a shard's first comes out
-// of the service's budget for extra requests.
-func (q *run) reserveBy(i int, request upstream.Request) bool {
+// reserveWith is reserve with a given request to the balancer. Every attempt other than a
+// shard's first is charged to the service's retry budget.
+func (q *exchange) reserveWith(i int, request upstream.Request) bool {
 	s := q.services[i]
 	now := time.Now()
-	extra := q.attempts(i) > 0
+	extra := q.attemptCount(i) > 0
 	s.mu.Lock()
-	st := s.set.Pick(now, request)
+	st := s.balancer.Pick(now, request)
 	denied := ""
 	switch {
 	case st == nil:
 		denied = deniedNoReplica
-	case extra && !s.mayRepeat(now, q.f.opts.Source.FleetSize(), request.Optional || q.query.Dispensable(i)):
+	case extra && !s.takeBudget(now, q.f.opts.Source.FleetSize(), request.Optional || q.query.Dispensable(i)):
 		denied = deniedNoBudget
 	}
 	if denied != "" {
 		s.mu.Unlock()
-		q.denials = append(q.denials, denial{shard: i, at: q.since(), why: denied, hedge: request.Optional})
+		q.denials = append(q.denials, denial{shard: i, at: q.elapsed(), reason: denied, hedge: request.Optional})
 		return false
 	}
-	handle := s.set.RecordSent(now, st, request)
+	handle := s.balancer.RecordSent(now, st, request)
 	replica := st.Replica
 	s.mu.Unlock()
-	at := q.since()
+	at := q.elapsed()
 	if tried, _ := q.tried(i, replica.ID); tried {
 		q.query.RetrySent(i, at)
 	} else {
 		q.query.Sent(i, at)
 	}
-	q.story = append(q.story, step{
+	q.attempts = append(q.attempts, attempt{
 		shard: i, replica: replica, at: at, hedge: request.Optional, extra: extra,
 		state: st, handle: handle,
 	})
@@ -78,83 +79,84 @@
 }
 
 // launch sends a reserved attempt.
-func (q *run) launch(number int) {
-	call := newCall(q.req, q.story[number].replica, q.deadline)
-	q.story[number].call = call
-	at := q.story[number]
-	s := q.services[at.shard]
+func (q *exchange) launch(index int) {
+	call := newCall(q.req, q.attempts[index].replica, q.deadline)
+	q.attempts[index].call = call
+	a := q.attempts[index]
+	s := q.services[a.shard]
 	go func() {
 		reply := q.f.opts.Backend.Forward(call, q.f.opts.Dialect)
-		q.settle(s, at.state, at.handle, &reply)
-		q.f.reach.note(at.replica, &reply)
-		if !at.extra && reply.Took > 0 {
+		q.recordResult(s, a.state, a.handle, &reply)
+		q.f.reach.recordResult(a.replica, &reply)
+		if !a.extra && reply.Took > 0 {
 			q.class.observe(reply.Took)
 		}
-		q.events.Put(event{ends: []attemptEnd{{shard: at.shard, step: number, reply: &reply}}})
+		q.completions.Put(completion{results: []attemptResult{{shard: a.shard, index: index, reply: &reply}}})
 	}()
 }
 
-// undo takes back the attempts that were reserved and not launched.
-func (q *run) undo() {
-	for i := range q.story {
-		at := &q.story[i]
-		s := q.services[at.shard]
+// undoReserved releases the attempts that were reserved and not launched.
+func (q *exchange) undoReserved() {
+	for i := range q.attempts {
+		a := &q.attempts[i]
+		s := q.services[a.shard]
 		s.mu.Lock()
-		s.set.UndoSent(at.state, at.handle)
+		s.balancer.UndoSent(a.state, a.handle)
 		s.mu.Unlock()
 	}
-	q.story = nil
+	q.attempts = nil
 }
 
-// attempts returns how many attempts were sent for a shard.
-func (q *run) attempts(shard int) int {
+// attemptCount returns how many attempts were reserved or sent for a shard.
+func (q *exchange) attemptCount(shard int) int {
 	n := 0
-	for i := range q.story {
-		if q.story[i].shard == shard {
+	for i := range q.attempts {
+		if q.attempts[i].shard == shard {
 			n++
 		}
 	}
 	return n
 }
 
-// tried reports whether a replica had an attempt for a shard, and whether it refused all
-// that it had.
-func (q *run) tried(shard int, id string) (tried, refused bool) {
+// tried reports whether a replica had an attempt for a shard, and whether it refused all of
+// them.
+func (q *exchange) tried(shard int, id string) (tried, refused bool) {
 	refused = true
-	for i := range q.story {
-		if s := &q.story[i]; s.shard == shard && s.replica.ID == id {
+	for i := range q.attempts {
+		if a := &q.attempts[i]; a.shard == shard && a.replica.ID == id {
 			tried = true
-			refused = refused && s.refused
+			refused = refused && a.refused
 		}
 	}
 	return tried, tried && refused
 }
 
-// mayRepeat takes one request out of the service's budget. s.mu is held.
-func (s *service) mayRepeat(now time.Time, size float64, spare bool) bool {
-	if spare {
+// takeBudget takes one request from the service's retry budget and reports whether the
+// budget allows it. The caller holds s.mu.
+func (s *service) takeBudget(now time.Time, size float64, optional bool) bool {
+	if optional {
 		return s.budget.TakeOptional(now, size)
 	}
 	return s.budget.Take(now, size)
 }
 
-// spareUsed is the share of the service's budget for hedges that is used.
-func (s *service) spareUsed(size float64) float64 {
+// optionalBudgetUsed returns the used share of the service's budget for optional requests.
+func (s *service) optionalBudgetUsed(size float64) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.budget.OptionalUsed(time.Now(), size)
 }
 
-func (q *run) pickFor(i int, hedge bool, size float64) upstream.Request {
+func (q *exchange) pickRequest(i int, hedge bool, size float64) upstream.Request {
 	r := upstream.Request{
 		Class:                 q.route.Name,
 		DataCentre:            q.f.opts.DataCentre,
-		MaxInFlightPerReplica: assumedConnections,
+		MaxInFlightPerReplica: defaultMaxConnections,
 		ColdPerSecond:         -1,
 		Optional:              hedge,
-		Unreachable:           q.outOfReach,
+		Unreachable:           q.unreachable,
 	}
-	if q.attempts(i) > 0 {
+	if q.attemptCount(i) > 0 {
 		r.Tried = func(id string) bool {
 			tried, _ := q.tried(i, id)
 			return tried
@@ -182,8 +184,8 @@
 	}
 }
 
-// settle tells the service's tables how an attempt ended.
-func (q *run) settle(s *service, st *upstream.State, handle uint64, reply *backend.ForwardReply) {
+// recordResult reports the result of an attempt to the service's balancer.
+func (q *exchange) recordResult(s *service, st *upstream.State, handle uint64, reply *backend.ForwardReply) {
 	sample := upstream.Sample{
 		Handle: handle,
 		Class:  q.route.Name,
@@ -192,26 +194,26 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.set.Done(time.Now(), st, sample)
+	s.balancer.Done(time.Now(), st, sample)
 }
 
-// resultOf classifies a reply for the choice of replicas.
+// resultOf classifies a reply for the balancer.
 func resultOf(reply *backend.ForwardReply) upstream.Result {
 	switch {
 	case reply.Notes.OtherReplica:
 		return upstream.WrongReplica
 	case reply.Notes.NotRun:
 		return upstream.Refused
-	case good(reply):
+	case successful(reply):
 		return upstream.Answered
 	case reply.Status != 0 && reply.Status < http.StatusInternalServerError:
-		// The replica's own word about the request, such as 404.
+		// The replica's own answer to the request, such as 404.
 		return upstream.Answered
 	case reply.Status != 0 || reply.Reason == pb.Reason_REASON_MISMATCH:
 		return upstream.Failed
 	case reply.Reason == pb.Reason_REASON_CANCELLED || reply.Reason == pb.Reason_REASON_DEADLINE:
 		return upstream.Abandoned
-	case reply.Reason == pb.Reason_REASON_LIMIT || ofNeighbour(reply):
+	case reply.Reason == pb.Reason_REASON_LIMIT || isSenderFailure(reply):
 		return upstream.Abandoned
 	}
 	if reply.Evidence == pb.Evidence_EVIDENCE_NOT_RUN {
@@ -220,49 +222,50 @@
 	return upstream.ConnectionLost
 }
 
-// good reports whether a reply is a complete and genuine success.
-func good(reply *backend.ForwardReply) bool {
+// successful reports whether a reply is a success with a signature, in a usable encoding.
+func successful(reply *backend.ForwardReply) bool {
 	return reply.Status >= http.StatusOK && reply.Status < http.StatusMultipleChoices &&
 		reply.Notes.Signature != "" && reply.Header.Get("Content-Encoding") == "" && !reply.Notes.NotRun
 }
 
-// passable reports whether a reply that is no success may be passed on as the replica's
-// own failure. A success without a signature is neither: its caller would take it for
-// one, and nobody knows whose answer it is.
-func passable(reply *backend.ForwardReply) bool {
+// forwardableFailure reports whether a reply may be forwarded to the caller as the replica's
+// failure. A success status without a signature may not: the caller would accept the reply
+// although its sender is unknown.
+func forwardableFailure(reply *backend.ForwardReply) bool {
 	return reply.Status >= http.StatusMultipleChoices && !reply.Notes.NotRun && !reply.Notes.OtherReplica
 }
 
-// take deals with the ends of attempts that came together.
-func (q *run) take(e event) {
-	q.takeGroup(e)
-	for _, end := range e.ends {
-		q.takeEnd(end)
+// handleCompletion applies the results of a completion.
+func (q *exchange) handleCompletion(e completion) {
+	q.handleGroup(e)
+	for _, result := range e.results {
+		q.handleResult(result)
 	}
 }
 
-// takeEnd deals with the end of an attempt.
-func (q *run) takeEnd(e attemptEnd) {
+// handleResult applies the result of an attempt, and sends or schedules another one where
+// that is allowed.
+func (q *exchange) handleResult(e attemptResult) {
 	if unsent(e.reply) {
-		q.sendDirectly(e.step)
+		q.sendDirectly(e.index)
 		return
 	}
-	q.story[e.step].end(q.since(), e.reply)
+	q.attempts[e.index].end(q.elapsed(), e.reply)
 	if e.reply.Evidence != pb.Evidence_EVIDENCE_NOT_RUN {
-		q.ran = true
+		q.mayHaveRun = true
 	}
 	if q.accepts(e.reply) {
 		if q.query.Answered(e.shard) {
 			q.parts[e.shard] = *e.reply
-			q.endOthers(e.shard)
+			q.cancelOthers(e.shard)
 		}
 		return
 	}
-	if passable(e.reply) {
-		q.last = e.reply
+	if forwardableFailure(e.reply) {
+		q.lastFailure = e.reply
 	}
 	reached := e.reply.Status != 0 && !e.reply.Notes.OtherReplica || e.reply.Evidence != pb.Evidence_EVIDENCE_NOT_RUN
-	if !reached && q.attempts(e.shard) > maxElsewhere {
+	if !reached && q.attemptCount(e.shard) > maxUncountedAttempts {
 		reached = true
 	}
 	retry := q.query.Failed(e.shard, reached)
@@ -270,7 +273,7 @@
 	if retry && mayRun && q.send(e.shard, false) {
 		return
 	}
-	if q.story[e.step].refused && q.query.ScheduleRetry(e.shard, q.since()) {
+	if q.attempts[e.index].refused && q.query.ScheduleRetry(e.shard, q.elapsed()) {
 		return
 	}
 	if !mayRun {
@@ -280,10 +283,10 @@
 	q.query.MarkLostIfIdle(e.shard)
 }
 
-// accepts reports whether a reply is the answer of its shard. Without shards to merge,
-// a replica's word about the request itself, such as 404, is its answer too.
-func (q *run) accepts(reply *backend.ForwardReply) bool {
-	if good(reply) {
+// accepts reports whether a reply is the answer of its shard. On a route that does not
+// gather, a replica's verdict on the request, such as 404, is an answer too.
+func (q *exchange) accepts(reply *backend.ForwardReply) bool {
+	if successful(reply) {
 		return true
 	}
 	if q.route.Gathers() || reply.Notes.NotRun || reply.Notes.OtherReplica {
@@ -293,11 +296,11 @@
 		reply.Status != http.StatusTooManyRequests && reply.Status != http.StatusRequestTimeout
 }
 
-// endOthers ends the attempts of a shard whose part is in.
-func (q *run) endOthers(shard int) {
-	for i := range q.story {
-		if s := &q.story[i]; s.shard == shard && !s.ended {
-			s.call.End(lingerFor)
+// cancelOthers ends the attempts in flight of a shard whose part has arrived.
+func (q *exchange) cancelOthers(shard int) {
+	for i := range q.attempts {
+		if a := &q.attempts[i]; a.shard == shard && !a.ended {
+			a.call.End(loserLinger)
 		}
 	}
 }
--- a/node/forward/batch.go
+++ b/node/forward/batch.go
@@ -10,50 +10,51 @@
 	"github.com/carobmill/carobmill/policy/gather"
 )
 
-// Batch is one gathered request for several replicas of another data centre, one attempt
-// each.
+// Batch is one gathered request to several replicas of another data centre, with one
+// attempt each.
 type Batch struct {
 	Request *Request
-	// Replicas by ID.
+	// Replicas holds their IDs.
 	Replicas []string
 	Deadline time.Time
-	// TopRecords is how many of the greatest records are wanted.
+	// TopRecords is how many of the greatest records are returned.
 	TopRecords int
 }
 
-// PartReply is what came of the attempt at one replica of a batch.
+// PartReply is the result of the attempt at one replica of a batch.
 type PartReply struct {
-	// Replica is its position in Batch.Replicas.
+	// Replica is the replica's index in Batch.Replicas.
 	Replica int
-	// Reply has no body when it is a success; its records are among those of its group.
+	// Reply has no body if it is a success: its records are in PartReplies.Records.
 	Reply backend.ForwardReply
 }
 
-// PartReplies are replies that came together.
+// PartReplies is a group of replies that are delivered together.
 type PartReplies struct {
 	Replies []PartReply
-	// Records are the greatest of the successful ones, which count together only.
+	// Records holds the greatest records of the successful replies. They cannot be
+	// attributed to single replies.
 	Records []byte
 }
 
-// BatchSender sends batches through nodes next to their replicas.
+// BatchSender sends batches through nodes in the data centres of their replicas.
 type BatchSender interface {
-	// SendBatch sends a batch through a node of a data centre and returns its name; without one
-	// that may be used nothing is sent. deliver is called with replies as they come, one
-	// call at a time, and with exactly one reply for each replica. ctx ends the wait for
-	// those that are missing.
+	// SendBatch sends a batch through a node of a data centre and returns the node's name. It
+	// returns false, and sends nothing, if no node is usable. deliver is called with replies
+	// as they arrive, one call at a time, with exactly one reply for each replica. ctx ends
+	// the wait for missing replies.
 	SendBatch(ctx context.Context, dataCentre string, b *Batch, deliver func(PartReplies)) (node string, ok bool)
 }
 
-// cancellable ends an attempt. Replies may still come for linger.
+// cancellable ends an attempt. Its reply may still arrive within linger.
 type cancellable interface{ End(linger time.Duration) }
 
-// batchCall is the attempts of a batch under way.
+// batchCall is a batch in flight.
 type batchCall struct {
 	cancel context.CancelFunc
 	// mu guards the fields below.
 	mu sync.Mutex
-	// wanted is how many attempts are neither ended nor answered.
+	// wanted is the number of attempts that are neither ended nor answered.
 	wanted int
 }
 
@@ -63,7 +64,7 @@
 	once sync.Once
 }
 
-// End implements cancellable. The batch goes on while any of its attempts is wanted.
+// End implements cancellable. The batch continues while any of its attempts is wanted.
 func (a *batchAttempt) End(linger time.Duration) {
 	a.once.Do(func() {
 		a.call.mu.Lock()
@@ -80,112 +81,113 @@
 	})
 }
 
-// launchAll sends the reserved first attempts: those for replicas of other data centres
-// through nodes there, as far as they come in batches.
-func (q *run) launchAll() {
-	inBatch := make([]bool, len(q.story))
+// launchAll sends the reserved first attempts. Those that gather.Batches groups are sent
+// through nodes in the data centres of their replicas.
+func (q *exchange) launchAll() {
+	inBatch := make([]bool, len(q.attempts))
 	if q.route.Gathers() && q.f.opts.BatchSender != nil {
-		centres := make([]string, len(q.story))
-		for i := range q.story {
-			centres[i] = q.story[i].replica.DataCentre
+		centres := make([]string, len(q.attempts))
+		for i := range q.attempts {
+			centres[i] = q.attempts[i].replica.DataCentre
 		}
-		for name, steps := range gather.Batches(q.f.opts.DataCentre, centres) {
-			if q.launchBatch(name, steps) {
-				for _, i := range steps {
+		for name, indices := range gather.Batches(q.f.opts.DataCentre, centres) {
+			if q.launchBatch(name, indices) {
+				for _, i := range indices {
 					inBatch[i] = true
 				}
 			}
 		}
 	}
-	for i := range q.story {
+	for i := range q.attempts {
 		if !inBatch[i] {
 			q.launch(i)
 		}
 	}
 }
 
-// launchBatch sends attempts through a node of a data centre and reports whether there is
-// one.
-func (q *run) launchBatch(dataCentre string, steps []int) bool {
+// launchBatch sends attempts through a node of a data centre and reports whether one is
+// usable.
+func (q *exchange) launchBatch(dataCentre string, indices []int) bool {
 	ctx, cancel := context.WithDeadline(context.Background(), q.deadline)
-	call := &batchCall{cancel: cancel, wanted: len(steps)}
+	call := &batchCall{cancel: cancel, wanted: len(indices)}
 	b := &Batch{Request: q.req, Deadline: q.deadline, TopRecords: q.route.TopRecords}
-	// The story may grow while replies come: what deliver needs is copied.
-	attempts := make([]step, len(steps))
-	for k, i := range steps {
-		b.Replicas = append(b.Replicas, q.story[i].replica.ID)
-		attempts[k] = q.story[i]
+	// deliver runs while serve may append to q.attempts, so that it needs copies.
+	attempts := make([]attempt, len(indices))
+	for k, i := range indices {
+		b.Replicas = append(b.Replicas, q.attempts[i].replica.ID)
+		attempts[k] = q.attempts[i]
 		attempts[k].call = &batchAttempt{call: call}
 	}
 	sent := time.Now()
 	node, ok := q.f.opts.BatchSender.SendBatch(ctx, dataCentre, b, func(r PartReplies) {
-		q.deliver(steps, attempts, r, time.Since(sent))
+		q.deliver(indices, attempts, r, time.Since(sent))
 	})
 	if !ok {
 		cancel()
 		return false
 	}
-	for k, i := range steps {
-		q.story[i].via = node
-		q.story[i].call = attempts[k].call
+	for k, i := range indices {
+		q.attempts[i].via = node
+		q.attempts[i].call = attempts[k].call
 	}
 	return true
 }
 
-// deliver hands replies of a batch to the goroutine of serve.
-func (q *run) deliver(steps []int, attempts []step, r PartReplies, took time.Duration) {
-	e := event{merged: true, records: r.Records}
+// deliver records replies of a batch and passes them to the goroutine of serve.
+func (q *exchange) deliver(indices []int, attempts []attempt, r PartReplies, took time.Duration) {
+	e := completion{merged: true, records: r.Records}
 	for k := range r.Replies {
 		reply := &r.Replies[k].Reply
-		at := &attempts[r.Replies[k].Replica]
-		at.call.End(lingerFor)
-		q.settle(q.services[at.shard], at.state, at.handle, reply)
-		q.f.reach.note(at.replica, reply)
+		a := &attempts[r.Replies[k].Replica]
+		a.call.End(loserLinger)
+		q.recordResult(q.services[a.shard], a.state, a.handle, reply)
+		q.f.reach.recordResult(a.replica, reply)
 		if reply.Took > 0 {
 			q.class.observe(took)
 		}
-		e.ends = append(e.ends, attemptEnd{shard: at.shard, step: steps[r.Replies[k].Replica], reply: reply})
+		e.results = append(e.results, attemptResult{shard: a.shard, index: indices[r.Replies[k].Replica], reply: reply})
 	}
-	q.events.Put(e)
+	q.completions.Put(e)
 }
 
-// sendDirectly sends an attempt that was not sent in its batch.
-func (q *run) sendDirectly(number int) {
-	at := &q.story[number]
-	at.via = ""
-	s := q.services[at.shard]
+// sendDirectly sends an attempt from this node after the batch's node did not send it.
+func (q *exchange) sendDirectly(index int) {
+	a := &q.attempts[index]
+	a.via = ""
+	s := q.services[a.shard]
 	s.mu.Lock()
-	at.handle = s.set.RecordSent(time.Now(), at.state, q.pickFor(at.shard, at.hedge, q.f.opts.Source.FleetSize()))
+	a.handle = s.balancer.RecordSent(time.Now(), a.state, q.pickRequest(a.shard, a.hedge, q.f.opts.Source.FleetSize()))
 	s.mu.Unlock()
-	q.launch(number)
+	q.launch(index)
 }
 
-// ofNeighbour reports whether a reply tells of the node that was to send an attempt, and
-// nothing of the replica: the node was lost, does not know the replica, or no batches.
-func ofNeighbour(reply *backend.ForwardReply) bool {
+// isSenderFailure reports whether a reply is a failure of the node that was to send an
+// attempt, and not of the replica: the node was lost, does not know the replica, or does
+// not support batches.
+func isSenderFailure(reply *backend.ForwardReply) bool {
 	return reply.Reason == pb.Reason_REASON_PEER || reply.Reason == pb.Reason_REASON_NO_REPLICA
 }
 
-// unsent reports whether a node did not send an attempt that it got in a batch.
+// unsent reports whether a node did not send an attempt that it received in a batch.
 func unsent(reply *backend.ForwardReply) bool {
-	return ofNeighbour(reply) && reply.Evidence == pb.Evidence_EVIDENCE_NOT_RUN
+	return isSenderFailure(reply) && reply.Evidence == pb.Evidence_EVIDENCE_NOT_RUN
 }
 
-// takeGroup deals with the successful replies of a batch that came together. Their records
-// cannot be told apart, so that they replace what other attempts have answered.
-func (q *run) takeGroup(e event) {
+// handleGroup applies the successful replies of a batch that arrived together. Their merged
+// records cannot be separated by shard, so that they replace parts from other attempts.
+func (q *exchange) handleGroup(e completion) {
 	if !e.merged {
 		return
 	}
 	grouped := false
-	for _, end := range e.ends {
-		if !good(end.reply) {
+	for _, result := range e.results {
+		if !successful(result.reply) {
 			continue
 		}
 		grouped = true
-		q.parts[end.shard] = *end.reply
+		q.parts[result.shard] = *result.reply
 	}
 	if grouped {
-		q.groups = append(q.groups, e.records)
+		q.mergedRecords = append(q.mergedRecords, e.records)
 	}
 }
--- a/node/forward/batch_test.go
+++ b/node/forward/batch_test.go
@@ -14,26 +14,26 @@
 	"github.com/carobmill/carobmill/node/forward"
 )
 
-// neighbour passes batches to another node's forwarder.
-type neighbour struct {
+// fakeBatchSender passes batches to the forwarder of another node.
+type fakeBatchSender struct {
 	to *forward.Forwarder
-	// delay is how long each delivery takes; lost drops the batch.
+	// delay is how long each delivery takes. fails makes every attempt of a batch fail.
 	delay time.Duration
-	lost  bool
-	// batches counts those that were sent.
+	fails bool
+	// batches counts the batches that were sent.
 	batches atomic.Int32
-	// ended is when the newest one was ended before all of its replies had come.
-	ended atomic.Pointer[time.Time]
+	// cancelledAt is when the newest batch was cancelled before all its replies had arrived.
+	cancelledAt atomic.Pointer[time.Time]
 }
 
 // SendBatch implements forward.BatchSender.
-func (n *neighbour) SendBatch(ctx context.Context, _ string, b *forward.Batch, deliver func(forward.PartReplies)) (string, bool) {
+func (n *fakeBatchSender) SendBatch(ctx context.Context, _ string, b *forward.Batch, deliver func(forward.PartReplies)) (string, bool) {
 	if n.to == nil {
 		return "", false
 	}
 	n.batches.Add(1)
 	go func() {
-		if n.lost {
+		if n.fails {
 			var r forward.PartReplies
 			for i := range b.Replicas {
 				r.Replies = append(r.Replies, forward.PartReply{Replica: i, Reply: backend.ForwardReply{
@@ -50,7 +50,7 @@
 		})
 		if err != nil {
 			now := time.Now()
-			n.ended.Store(&now)
+			n.cancelledAt.Store(&now)
 		}
 	}()
 	return "other", true
@@ -60,111 +60,109 @@
 	return &forward.Request{ID: "q", Method: http.MethodGet, Target: "/x", Header: http.Header{headerID: {"q"}}}
 }
 
-// TestBatchedPartsAreMerged is the path of parts that come merged from another data centre.
+// Guards against losing parts that arrive merged from another data centre.
 func TestBatchedPartsAreMerged(t *testing.T) {
-	run(t, shards(6, "b"), func(r *rig) {
-		n := &neighbour{}
+	withHarness(t, shards(6, "b"), func(r *harness) {
+		n := &fakeBatchSender{}
 		f := r.node("a", n)
 		n.to = r.node("b", nil)
-		a, took := r.ask(f, 10*ms)
-		r.records(a)
+		a, took := r.serve(f, 10*ms)
+		r.checkRecords(a)
 		r.Assert(a.Missing, qt.Equals, 0)
 		r.Assert(n.batches.Load(), qt.Equals, int32(1))
 		r.Assert(took < 30*ms, qt.IsTrue, qt.Commentf("took %v", took))
 	})
 }
 
-// TestFewAttemptsGoOneByOne guards against messages that cost more than they save.
-func TestFewAttemptsGoOneByOne(t *testing.T) {
-	run(t, shards(3, "b"), func(r *rig) {
-		n := &neighbour{}
+// Guards against batches that are too small to save any messages.
+func TestSmallGroupIsNotBatched(t *testing.T) {
+	withHarness(t, shards(3, "b"), func(r *harness) {
+		n := &fakeBatchSender{}
 		f := r.node("a", n)
 		n.to = r.node("b", nil)
-		a, _ := r.ask(f, 10*ms)
-		r.records(a)
+		a, _ := r.serve(f, 10*ms)
+		r.checkRecords(a)
 		r.Assert(n.batches.Load(), qt.Equals, int32(0))
 	})
 }
 
-// TestGroupAndHedgeCountOnce guards against an answer that holds two parts of one shard, or
-// records of a part that it does not name: a batch and a hedge both answer.
-func TestGroupAndHedgeCountOnce(t *testing.T) {
+// Guards against an answer with two parts of one shard, or with records of a part that it
+// does not name, when both a batch and a hedge answer.
+func TestBatchAndHedgeReplyCountShardOnce(t *testing.T) {
 	for _, delay := range []time.Duration{0, 30 * ms, 49 * ms, 55 * ms, 60 * ms, 70 * ms} {
-		run(t, shards(6, "b", "c"), func(r *rig) {
+		withHarness(t, shards(6, "b", "c"), func(r *harness) {
 			for id, rep := range r.replicas {
 				if rep.DataCentre == "c" {
-					rep.takes = 20 * ms
+					rep.latency = 20 * ms
 				}
 				if id == "s5-b" {
-					// Its shard keeps the request open while others answer twice.
-					rep.takes = 300 * ms
+					// This shard keeps the request open while other shards answer twice.
+					rep.latency = 300 * ms
 				}
 			}
-			n := &neighbour{delay: delay}
+			n := &fakeBatchSender{delay: delay}
 			f := r.node("a", n)
 			n.to = r.node("b", nil)
-			a, _ := r.ask(f, 5*ms)
-			r.records(a)
-			r.most()
+			a, _ := r.serve(f, 5*ms)
+			r.checkRecords(a)
+			r.checkMaxAttempts()
 		})
 	}
 }
 
-// TestLostBatchIsSentToOtherReplicas guards against a node that dies with a batch and takes
-// its shards with it.
-func TestLostBatchIsSentToOtherReplicas(t *testing.T) {
-	run(t, shards(6, "b", "c"), func(r *rig) {
-		n := &neighbour{lost: true}
+// Guards against losing the shards of a batch whose node fails.
+func TestFailedBatchIsRetriedAtOtherReplicas(t *testing.T) {
+	withHarness(t, shards(6, "b", "c"), func(r *harness) {
+		n := &fakeBatchSender{fails: true}
 		f := r.node("a", n)
 		n.to = f
-		a, _ := r.ask(f, 10*ms)
-		r.records(a)
+		a, _ := r.serve(f, 10*ms)
+		r.checkRecords(a)
 		r.Assert(a.Missing, qt.Equals, 0)
-		r.most()
+		r.checkMaxAttempts()
 	})
 }
 
-// TestNodeThatLacksReplicasCostsNoAttempt guards against a node that has lost the store and
-// makes those that send it batches spend their budget for extra requests.
-func TestNodeThatLacksReplicasCostsNoAttempt(t *testing.T) {
-	run(t, shards(6, "b"), func(r *rig) {
-		n := &neighbour{}
+// Guards against retries that are charged to the retry budget when a batch's node does not
+// know the replicas.
+func TestBatchToNodeWithoutReplicasIsSentDirectly(t *testing.T) {
+	withHarness(t, shards(6, "b"), func(r *harness) {
+		n := &fakeBatchSender{}
 		f := r.node("a", n)
-		// It knows no replica at all.
+		// This forwarder has received no replicas.
 		n.to = forward.New(forward.Options{})
-		a, _ := r.ask(f, 10*ms)
-		r.records(a)
+		a, _ := r.serve(f, 10*ms)
+		r.checkRecords(a)
 		r.Assert(a.Missing, qt.Equals, 0)
 		r.Assert(n.batches.Load(), qt.Equals, int32(1))
 		for id, rep := range r.replicas {
-			r.Assert(rep.count(), qt.Equals, 1, qt.Commentf("attempts at %s", id))
+			r.Assert(rep.requestCount(), qt.Equals, 1, qt.Commentf("attempts at %s", id))
 		}
 	})
 }
 
-// TestBatchEndsWithItsRequest guards against replicas that go on working for a part of a
-// batch after the answer was given without it.
-func TestBatchEndsWithItsRequest(t *testing.T) {
-	run(t, shards(6, "b"), func(r *rig) {
-		r.replicas["s0-b"].set(func(rep *replica) { rep.takes = 20 * time.Second })
-		n := &neighbour{}
+// Guards against replicas that continue to work on a batch after the answer was returned
+// without its parts.
+func TestBatchIsCancelledAfterRequestEnds(t *testing.T) {
+	withHarness(t, shards(6, "b"), func(r *harness) {
+		r.replicas["s0-b"].set(func(rep *replica) { rep.latency = 20 * time.Second })
+		n := &fakeBatchSender{}
 		f := r.node("a", n)
 		n.to = r.node("b", nil)
 		began := time.Now()
-		a, took := r.ask(f, 10*ms)
-		r.records(a)
+		a, took := r.serve(f, 10*ms)
+		r.checkRecords(a)
 		r.Assert(a.Missing, qt.Equals, 1)
 		time.Sleep(400 * ms)
-		ended := n.ended.Load()
+		ended := n.cancelledAt.Load()
 		r.Assert(ended, qt.Not(qt.IsNil))
-		r.Assert(ended.Sub(began) <= took+250*ms, qt.IsTrue, qt.Commentf("after %v", ended.Sub(began)))
+		r.Assert(ended.Sub(began) <= took+250*ms, qt.IsTrue, qt.Commentf("cancelled after %v", ended.Sub(began)))
 	})
 }
 
-// TestUnknownReplicaOfABatchIsNotRun guards against a node that sends requests wherever
-// another one says.
-func TestUnknownReplicaOfABatchIsNotRun(t *testing.T) {
-	run(t, shards(1, "b"), func(r *rig) {
+// Guards against a node that sends requests to replicas that are not in its own view.
+func TestUnknownReplicaInBatchIsReportedNotRun(t *testing.T) {
+	withHarness(t, shards(1, "b"), func(r *harness) {
 		f := r.node("b", nil)
 		var replies []forward.PartReply
 		b := &forward.Batch{
@@ -188,12 +186,11 @@
 	})
 }
 
-// TestBatchEndsWithItsSender guards against replicas that work for a request whose caller
-// has gone.
-func TestBatchEndsWithItsSender(t *testing.T) {
-	run(t, shards(4, "b"), func(r *rig) {
+// Guards against replicas that work on a request whose caller has disconnected.
+func TestServeBatchStopsWhenSenderCancels(t *testing.T) {
+	withHarness(t, shards(4, "b"), func(r *harness) {
 		for _, rep := range r.replicas {
-			rep.takes = 30 * time.Second
+			rep.latency = 30 * time.Second
 		}
 		f := r.node("b", nil)
 		ctx, cancel := context.WithTimeout(context.Background(), 50*ms)
@@ -207,17 +204,17 @@
 		r.Assert(err, qt.Not(qt.IsNil))
 		r.Assert(time.Since(began), qt.Equals, 50*ms)
 		for _, rep := range r.replicas {
-			rep.set(func(rep *replica) { rep.takes = 0 })
+			rep.set(func(rep *replica) { rep.latency = 0 })
 		}
 	})
 }
 
-// TestEndedBatchIsNotBegun guards against a node that was paused with a batch in its socket
-// and sends it on waking, after its sender has given the attempts up.
-func TestEndedBatchIsNotBegun(t *testing.T) {
-	run(t, shards(9, "b"), func(r *rig) {
+// Guards against a node that resumes after a pause and sends a batch that its sender has
+// already cancelled.
+func TestCancelledBatchIsNotSent(t *testing.T) {
+	withHarness(t, shards(9, "b"), func(r *harness) {
 		f := r.node("b", nil)
-		r.ask(f, 10*ms)
+		r.serve(f, 10*ms)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		b := &forward.Batch{Request: batchedRequest(), Deadline: time.Now().Add(time.Second)}
@@ -225,14 +222,14 @@
 			b.Replicas = append(b.Replicas, id)
 		}
 		err := f.ServeBatch(ctx, b, func(forward.PartReplies) error {
-			// The stream of a sender that has gone takes a while to fail.
+			// The stream of a disconnected sender takes a while to fail.
 			time.Sleep(10 * ms)
 			return nil
 		})
 		r.Assert(err, qt.Equals, context.Canceled)
 		time.Sleep(100 * ms)
 		for id, rep := range r.replicas {
-			r.Assert(rep.count(), qt.Equals, 1, qt.Commentf("%s was asked again", id))
+			r.Assert(rep.requestCount(), qt.Equals, 1, qt.Commentf("requests sent to %s", id))
 		}
 	})
 }
--- a/node/forward/bench_test.go
+++ b/node/forward/bench_test.go
@@ -16,8 +16,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// gatherer returns a forwarder with one replica of each shard.
-func gatherer(b testing.TB, shards int) *forward.Forwarder {
+// newGatherForwarder returns a forwarder with one replica of each shard.
+func newGatherForwarder(b testing.TB, shards int) *forward.Forwarder {
 	view := &directory.View{Replicas: make(map[string][]*registry.Replica), At: time.Now()}
 	all := route.Route{
 		Name: "all", Host: "h.example", Prefix: "/", Idempotent: true, MaxAttempts: 2,
@@ -36,11 +36,12 @@
 	return forwarder(view, backend.New(backend.Options{DialTimeout: time.Second}), "a", nil)
 }
 
-// BenchmarkGather is one request over the shards of a large fleet, replicas included.
+// BenchmarkGather measures one request over the shards of a large fleet, with the work of
+// the stand-in replicas included.
 func BenchmarkGather(b *testing.B) {
 	for _, shards := range []int{42, 63} {
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
-			f := gatherer(b, shards)
+			f := newGatherForwarder(b, shards)
 			header := http.Header{
 				headerID: {"q"}, "Accept-Encoding": {"identity"}, "User-Agent": {""}, "X-Custom": {"kept"},
 			}
--- a/node/forward/class.go
+++ b/node/forward/class.go
@@ -10,17 +10,17 @@
 	"github.com/carobmill/carobmill/policy/route"
 )
 
-// class is what this node knows of the requests of one route.
+// class is the state of the requests of one route at this node.
 type class struct {
 	// mu guards the fields below.
-	mu       sync.Mutex
-	recent   hedge.Quantile
-	splitter *route.Splitter
-	parts    []route.Weighted
+	mu        sync.Mutex
+	latencies hedge.Quantile
+	splitter  *route.Splitter
+	split     []route.Weighted
 }
 
-// class returns the tables of a route's class. Routes are told apart by name, so that
-// a new version of a route keeps what is known.
+// class returns the class of a route, which is created if there is none. Routes are
+// identified by name, so that a new version of a route keeps its state.
 func (f *Forwarder) class(r *route.Route) *class {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -42,14 +42,14 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.splitter == nil || !sameParts(c.parts, r.Split) {
+	if c.splitter == nil || !sameSplit(c.split, r.Split) {
 		c.splitter = route.NewSplitter(r.Split, rand.Float64())
-		c.parts = r.Split
+		c.split = r.Split
 	}
 	return []string{r.Split[c.splitter.Next(r.Split)].Service}
 }
 
-func sameParts(a, b []route.Weighted) bool {
+func sameSplit(a, b []route.Weighted) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -61,16 +61,16 @@
 	return true
 }
 
-// observe takes the latency of a first attempt.
+// observe records the latency of a first attempt.
 func (c *class) observe(took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.recent.Observe(took)
+	c.latencies.Observe(took)
 }
 
-// hedging returns how long attempts may be out before they are hedged.
-func (c *class) hedging(objective time.Duration) gather.HedgeDelay {
+// hedgeDelay returns how long attempts may be in flight before they are hedged.
+func (c *class) hedgeDelay(objective time.Duration) gather.HedgeDelay {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return gather.NewHedgeDelay(&c.recent, objective)
+	return gather.NewHedgeDelay(&c.latencies, objective)
 }
--- a/node/forward/forward.go
+++ b/node/forward/forward.go
@@ -1,6 +1,6 @@
-// Package forward passes callers' requests on to replicas that were found at run time:
-// to one replica, or to one of every shard, whose parts it merges. What is decided is
-// in policy/; this package carries it out.
+// Package forward forwards callers' requests to replicas found at run time: to one
+// replica, or to one replica of every shard, whose parts it merges. Decisions are made by
+// the packages in policy/; this package does the I/O.
 package forward
 
 import (
@@ -23,24 +23,24 @@
 	"github.com/carobmill/carobmill/policy/upstream"
 )
 
-// Request is a caller's request, read as a whole.
+// Request is a caller's request with its whole body.
 type Request struct {
 	ID     string
 	Method string
-	// Target is the request target as received, Path its part before the query.
+	// Target is the request target as received. Path is its part before the query.
 	Target string
 	Path   string
 	Host   string
-	// Header holds the end-to-end headers. Not changed.
+	// Header holds the end-to-end headers. It is not modified.
 	Header http.Header
 	Body   []byte
-	// Arrived is when the request's first bytes were read, and CallerTimeout how long its
-	// caller waits from then on; 0 when the caller did not say.
+	// Arrived is when the request's first bytes were read. CallerTimeout is how long the
+	// caller waits from then on; 0 when the caller did not state it.
 	Arrived       time.Time
 	CallerTimeout time.Duration
-	// TransitReserve is what of the route's objective is needed outside of the node that
-	// gathers: the caller's way and back, and the answer's way through other nodes; 0
-	// when it is not known.
+	// TransitReserve is the part of the route's objective that is spent outside the
+	// gathering node: transit between the caller and its node, and of the answer through
+	// other nodes; 0 when unknown.
 	TransitReserve time.Duration
 }
 
@@ -49,17 +49,17 @@
 
 // Outcomes.
 const (
-	// Passed: a replica's answer, to be given as it is.
+	// Passed: a replica's answer, forwarded unchanged.
 	Passed Outcome = iota
-	// Merged: the greatest records of the shards that answered.
+	// Merged: the greatest records of the shards that answered, merged.
 	Merged
-	// NoRoute: no configuration allows the request.
+	// NoRoute: no route of the configuration matches the request.
 	NoRoute
-	// NotRun: no replica has run the request, and none will.
+	// NotRun: no replica has run the request or will run it.
 	NotRun
-	// Failed: the request may have run, and has no answer.
+	// Failed: the request may have run, but there is no answer.
 	Failed
-	// Late: the time to answer is over; the request may have run.
+	// Late: the deadline has passed; the request may have run.
 	Late
 )
 
@@ -68,29 +68,30 @@
 	return [...]string{"passed", "merged", "no_route", "not_run", "failed", "late"}[o]
 }
 
-// Answer is what the caller gets.
+// Answer is the result of a request.
 type Answer struct {
 	Outcome Outcome
-	// Status, Header and Body of a passed answer; Body of a merged one.
+	// Status, Header and Body of a passed answer; Status and Body of a merged one.
 	Status int
 	Header http.Header
 	Body   []byte
-	// Signatures of the merged parts, and the number of shards left out.
+	// Signatures are those of the merged parts. Missing is the number of shards without a
+	// part.
 	Signatures []string
 	Missing    int
-	// RetryAfter is when a request that was not run is worth repeating.
+	// RetryAfter is the delay after which a request that was not run may be repeated.
 	RetryAfter time.Duration
-	// Version of the configuration that the request was answered by; 0 without one.
+	// Version is that of the configuration that was used; 0 without one.
 	Version uint64
-	// Due is when the answer was due to be given, after the arrival; 0 when unknown.
+	// Due is when the answer was due, counted from the arrival; 0 when unknown.
 	Due time.Duration
 }
 
-// Source is where a forwarder takes what is known from.
+// Source provides the view and the fleet's size.
 type Source interface {
 	View() *directory.View
-	// FleetSize is the size of the fleet that shares its budgets and the replicas'
-	// connections, in units of this node.
+	// FleetSize is the size of the fleet that shares the budgets and the replicas'
+	// connections, in units of this node's capacity.
 	FleetSize() float64
 }
 
@@ -99,15 +100,15 @@
 	Source  Source
 	Backend *backend.Client
 	Dialect backend.Dialect
-	// DataCentre of this node.
+	// DataCentre is that of this node.
 	DataCentre string
-	// BatchSender sends attempts at replicas of other data centres; nil for sending all
-	// from this node.
+	// BatchSender sends attempts at replicas of other data centres through nodes there. If
+	// nil, this node sends all attempts itself.
 	BatchSender BatchSender
-	// RetryBudget bounds retries and hedges of the fleet.
+	// RetryBudget bounds the retries and hedges of the whole fleet.
 	RetryBudget retrybudget.Bound
 	Log         logrus.FieldLogger
-	// Record is called with each ended request; may be nil.
+	// Record is called with each completed request; may be nil.
 	Record func(r *route.Route, a *Answer, took time.Duration)
 }
 
@@ -115,20 +116,19 @@
 type Forwarder struct {
 	opts Options
 
-	// mu guards the maps. It is taken before service.mu and class.mu and not held
-	// while they are.
+	// mu guards the maps. It is released before service.mu or class.mu is locked.
 	mu       sync.Mutex
 	services map[string]*service
 	classes  map[string]*class
 
-	// lines bounds the log lines about requests.
-	lines telemetry.LineBudget
-	reach *reachability
-	// replicas is those of the newest view by ID.
+	// lineBudget bounds the rate of log lines about requests.
+	lineBudget telemetry.LineBudget
+	reach      *reachability
+	// replicas holds the replicas of the newest view by ID.
 	replicas atomic.Pointer[map[string]*registry.Replica]
 }
 
-// New returns a forwarder.
+// New returns a forwarder without replicas; Update adds them.
 func New(o Options) *Forwarder {
 	f := &Forwarder{
 		opts:     o,
@@ -136,60 +136,60 @@
 		classes:  make(map[string]*class),
 		reach:    newReachability(o.DataCentre, o.Backend, o.Log),
 	}
-	f.reach.waiting = f.waiting
+	f.reach.pending = f.pendingAttempts
 	return f
 }
 
-// service is what this node knows of one service.
+// service is the state of one service at this node.
 type service struct {
 	// mu guards the fields below.
-	mu     sync.Mutex
-	set    *upstream.Balancer
-	budget *retrybudget.Budget
-	// replicas that the set was made from.
+	mu       sync.Mutex
+	balancer *upstream.Balancer
+	budget   *retrybudget.Budget
+	// replicas are those of the balancer.
 	replicas []*registry.Replica
 }
 
-// service returns the tables of a service.
+// service returns the state of a service, which is created if there is none.
 func (f *Forwarder) service(name string) *service {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.services[name]
 	if s == nil {
 		s = &service{
-			set:    upstream.NewBalancer(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-			budget: retrybudget.New(f.opts.RetryBudget, time.Now()),
+			balancer: upstream.NewBalancer(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+			budget:   retrybudget.New(f.opts.RetryBudget, time.Now()),
 		}
 		f.services[name] = s
 	}
 	return s
 }
 
-// Update takes a new view: connections to replicas that are gone are closed once they
-// are idle, and tables of services and routes that are gone are dropped.
+// Update applies a new view. Connections to removed replicas are closed once they are
+// idle. The state of removed services and routes is deleted.
 func (f *Forwarder) Update(v *directory.View) {
-	f.reach.keep(v)
+	f.reach.update(v)
 	size := f.opts.Source.FleetSize()
-	known := make(map[string]*registry.Replica)
+	current := make(map[string]*registry.Replica)
 	for name, replicas := range v.Replicas {
 		limit := connectionShare(v.Index.Service(name), size)
 		for _, r := range replicas {
-			known[r.ID] = r
+			current[r.ID] = r
 			f.opts.Backend.SetConnections(r.ID, limit)
 		}
-		f.forget(f.service(name).keep(replicas), known)
+		f.closeRemoved(f.service(name).setReplicas(replicas), current)
 	}
-	f.replicas.Store(&known)
-	for name, s := range f.drop(v) {
+	f.replicas.Store(&current)
+	for name, s := range f.removeUnconfigured(v) {
 		if len(v.Replicas[name]) == 0 {
-			f.forget(s.keep(nil), known)
+			f.closeRemoved(s.setReplicas(nil), current)
 		}
 	}
 }
 
-// drop forgets services and routes that are in the configuration no more, and returns
-// all services that were known.
-func (f *Forwarder) drop(v *directory.View) map[string]*service {
+// removeUnconfigured deletes the state of services and routes that the configuration no
+// longer contains. It returns all services from before.
+func (f *Forwarder) removeUnconfigured(v *directory.View) map[string]*service {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := maps.Clone(f.services)
@@ -206,44 +206,43 @@
 	return before
 }
 
-// keep replaces the usable replicas and returns those before.
-func (s *service) keep(replicas []*registry.Replica) (before []*registry.Replica) {
+// setReplicas replaces the usable replicas and returns the previous ones.
+func (s *service) setReplicas(replicas []*registry.Replica) (before []*registry.Replica) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before, s.replicas = s.replicas, replicas
-	s.set.SetReplicas(replicas)
+	s.balancer.SetReplicas(replicas)
 	return before
 }
 
-// forget drops the connections to replicas that are not known any more.
-func (f *Forwarder) forget(previous []*registry.Replica, known map[string]*registry.Replica) {
+// closeRemoved closes the connections to those previous replicas that are not in current.
+func (f *Forwarder) closeRemoved(previous []*registry.Replica, current map[string]*registry.Replica) {
 	for _, r := range previous {
-		if known[r.ID] == nil {
+		if current[r.ID] == nil {
 			f.opts.Backend.Forget(r.ID)
 		}
 	}
 }
 
-// assumedConnections is a replica's limit while the configuration does not name its
-// service yet.
-const assumedConnections = 16
+// defaultMaxConnections is the connection limit of a replica whose service has no limit in
+// the configuration.
+const defaultMaxConnections = 16
 
-// connectionShare is this node's part of a replica's connections. One node more than
-// are known is reckoned with, so that the sum stays under the limit while one joins.
+// connectionShare returns this node's share of a replica's connection limit. The fleet is
+// counted as larger by one node, so that the sum stays within the limit while a node joins.
 func connectionShare(s *route.Service, size float64) int {
-	limit := assumedConnections
+	limit := defaultMaxConnections
 	if s != nil && s.MaxConnections > 0 {
 		limit = s.MaxConnections
 	}
 	return max(1, int(float64(limit)/(size+1)))
 }
 
-// Serve answers one request. It returns when the answer is known; ctx ends when the
-// caller has gone.
+// Serve answers one request. ctx must end when the caller disconnects.
 func (f *Forwarder) Serve(ctx context.Context, req *Request) Answer {
 	view := f.opts.Source.View()
 	if view == nil {
-		return f.refuse(req, "no configuration is known yet", startRetryAfter)
+		return f.refuse(req, "no configuration received yet", startRetryAfter)
 	}
 	r := view.Index.Match(req.Host, req.Path)
 	if r == nil {
@@ -253,25 +252,25 @@
 		return Answer{Outcome: NoRoute, Version: view.Index.Version}
 	}
 	c := f.class(r)
-	q := newRun(f, view, r, c, req)
+	q := newExchange(f, view, r, c, req)
 	a := q.serve(ctx)
 	a.Version = view.Index.Version
-	a.Due = q.due()
+	a.Due = q.dueAt()
 	if f.opts.Record != nil {
 		f.opts.Record(r, &a, time.Since(req.Arrived))
 	}
 	return a
 }
 
-// startRetryAfter is how long a node takes from its start to its first configuration,
-// with room for a slow store.
+// startRetryAfter covers the time from a node's start to its first configuration, with a
+// slow store.
 const startRetryAfter = 500 * time.Millisecond
 
-func (f *Forwarder) refuse(req *Request, why string, after time.Duration) Answer {
-	if f.lines.Take(time.Now(), true) {
+func (f *Forwarder) refuse(req *Request, reason string, after time.Duration) Answer {
+	if f.lineBudget.Take(time.Now(), true) {
 		f.opts.Log.WithFields(logrus.Fields{
 			"request": req.ID, "outcome": NotRun.String(), "retry_after_ms": after.Milliseconds(),
-		}).Info(why)
+		}).Info(reason)
 	}
 	return Answer{Outcome: NotRun, RetryAfter: after}
 }
--- a/node/forward/forward_test.go
+++ b/node/forward/forward_test.go
@@ -11,59 +11,59 @@
 
 const ms = time.Millisecond
 
-// shards places that many shards, each in all of the data centres.
+// shards returns the placement of n shards, each with a replica in all of the data centres.
 func shards(n int, centres ...string) map[string][]string {
-	place := make(map[string][]string)
+	placement := make(map[string][]string)
 	for i := range n {
-		place["s"+string(rune('0'+i))] = centres
+		placement["s"+string(rune('0'+i))] = centres
 	}
-	return place
+	return placement
 }
 
-// TestAnswerHoldsAllShards is the path of a request without a fault.
-func TestAnswerHoldsAllShards(t *testing.T) {
-	run(t, shards(4, "a", "b"), func(r *rig) {
-		a, took := r.ask(r.node("a", nil), 10*ms)
-		r.records(a)
+// Guards against a request without faults that is slow or lacks a shard.
+func TestAnswerContainsAllShards(t *testing.T) {
+	withHarness(t, shards(4, "a", "b"), func(r *harness) {
+		a, took := r.serve(r.node("a", nil), 10*ms)
+		r.checkRecords(a)
 		r.Assert(a.Missing, qt.Equals, 0)
 		r.Assert(took < 20*ms, qt.IsTrue, qt.Commentf("took %v", took))
 	})
 }
 
-// TestStalledReplicaIsHedged guards against a paused replica that costs a shard.
+// Guards against losing a shard because one replica is paused.
 func TestStalledReplicaIsHedged(t *testing.T) {
-	run(t, shards(4, "a", "b"), func(r *rig) {
-		r.replicas["s0-a"].set(func(rep *replica) { rep.takes = 400 * ms })
-		a, took := r.ask(r.node("a", nil), 10*ms)
-		r.records(a)
+	withHarness(t, shards(4, "a", "b"), func(r *harness) {
+		r.replicas["s0-a"].set(func(rep *replica) { rep.latency = 400 * ms })
+		a, took := r.serve(r.node("a", nil), 10*ms)
+		r.checkRecords(a)
 		r.Assert(a.Missing, qt.Equals, 0)
 		r.Assert(took < 90*ms, qt.IsTrue, qt.Commentf("took %v", took))
-		r.most()
+		r.checkMaxAttempts()
 	})
 }
 
-// TestRefusedAttemptIsSentAgain guards against busy replicas that cost a shard although
-// what they refuse has not run.
-func TestRefusedAttemptIsSentAgain(t *testing.T) {
-	run(t, shards(4, "a", "b"), func(r *rig) {
+// Guards against losing a shard because its replicas were busy and refused attempts, which
+// can be retried since they have not run.
+func TestRefusedAttemptIsRetried(t *testing.T) {
+	withHarness(t, shards(4, "a", "b"), func(r *harness) {
 		for _, id := range []string{"s0-a", "s0-b"} {
 			r.replicas[id].set(func(rep *replica) { rep.refusals = 2 })
 		}
-		a, _ := r.ask(r.node("a", nil), 10*ms)
-		r.records(a)
+		a, _ := r.serve(r.node("a", nil), 10*ms)
+		r.checkRecords(a)
 		r.Assert(a.Missing, qt.Equals, 0)
-		r.most()
+		r.checkMaxAttempts()
 	})
 }
 
-// TestAnswerLeavesTimeForItsWay guards against an answer that is given at the objective and
-// reaches its caller after it.
-func TestAnswerLeavesTimeForItsWay(t *testing.T) {
+// Guards against an answer that is returned at the objective and reaches its caller after
+// it.
+func TestAnswerIsReturnedBeforeTransitReserve(t *testing.T) {
 	for _, reserve := range []time.Duration{5 * ms, 30 * ms} {
-		run(t, shards(4, "a"), func(r *rig) {
-			r.replicas["s0-a"].set(func(rep *replica) { rep.takes = 400 * ms })
-			a, took := r.ask(r.node("a", nil), reserve)
-			r.records(a)
+		withHarness(t, shards(4, "a"), func(r *harness) {
+			r.replicas["s0-a"].set(func(rep *replica) { rep.latency = 400 * ms })
+			a, took := r.serve(r.node("a", nil), reserve)
+			r.checkRecords(a)
 			r.Assert(a.Missing, qt.Equals, 1)
 			r.Assert(took, qt.Equals, r.route.Objective-reserve)
 			r.Assert(a.Due, qt.Equals, took)
@@ -71,65 +71,64 @@
 	}
 }
 
-// TestTooFewShardsAreRefusedUnsent guards against work for requests that cannot succeed.
-func TestTooFewShardsAreRefusedUnsent(t *testing.T) {
-	place := shards(2, "a")
-	place["s2"], place["s3"] = nil, nil
-	run(t, place, func(r *rig) {
-		a, took := r.ask(r.node("a", nil), 10*ms)
+// Guards against sending attempts for a request that cannot reach the minimum coverage.
+func TestRequestWithTooFewShardsIsRefusedUnsent(t *testing.T) {
+	placement := shards(2, "a")
+	placement["s2"], placement["s3"] = nil, nil
+	withHarness(t, placement, func(r *harness) {
+		a, took := r.serve(r.node("a", nil), 10*ms)
 		r.Assert(a.Outcome, qt.Equals, forward.NotRun)
 		r.Assert(a.RetryAfter > 0, qt.IsTrue)
 		r.Assert(took, qt.Equals, time.Duration(0))
 		for id, rep := range r.replicas {
-			r.Assert(rep.count(), qt.Equals, 0, qt.Commentf("%s was asked", id))
+			r.Assert(rep.requestCount(), qt.Equals, 0, qt.Commentf("requests sent to %s", id))
 		}
 	})
 }
 
-// TestCutOffNodeIsIsolatedThoughALinkIsIdle guards against a node of a cut-off data centre
-// that stays ready, since no request shows that an idle data centre is silent too.
-func TestCutOffNodeIsIsolatedThoughALinkIsIdle(t *testing.T) {
-	place := shards(4, "b", "c")
-	run(t, place, func(r *rig) {
-		r.place("idle", "d")
-		r.place("idle", "e")
+// Guards against a node of a partitioned data centre that stays ready because no request
+// shows that an idle data centre is unreachable too.
+func TestPartitionedNodeIsIsolatedDespiteIdleDataCentre(t *testing.T) {
+	placement := shards(4, "b", "c")
+	withHarness(t, placement, func(r *harness) {
+		r.addReplica("idle", "d")
+		r.addReplica("idle", "e")
 		f := r.node("a", nil)
-		ask := func(d time.Duration) {
+		sendRequests := func(d time.Duration) {
 			for until := time.Now().Add(d); time.Now().Before(until); time.Sleep(50 * ms) {
-				go r.ask(f, 10*ms)
+				go r.serve(f, 10*ms)
 			}
 		}
-		ask(time.Second)
+		sendRequests(time.Second)
 		r.Assert(f.Isolated(), qt.IsFalse)
 		for _, dc := range []string{"b", "c", "d", "e"} {
 			r.network.Cut("a", dc)
 		}
-		ask(1500 * ms)
+		sendRequests(1500 * ms)
 		r.Assert(f.Isolated(), qt.IsTrue)
 		for _, dc := range []string{"b", "c", "d", "e"} {
 			r.network.Mend("a", dc)
 		}
-		ask(1500 * ms)
+		sendRequests(1500 * ms)
 		r.Assert(f.Isolated(), qt.IsFalse)
-		a, _ := r.ask(f, 10*ms)
-		r.records(a)
+		a, _ := r.serve(f, 10*ms)
+		r.checkRecords(a)
 	})
 }
 
-// TestLossOfOneDataCentreIsolatesNobody guards against nodes that send their callers away
-// although they can answer.
-func TestLossOfOneDataCentreIsolatesNobody(t *testing.T) {
-	run(t, shards(4, "b", "c"), func(r *rig) {
-		r.place("idle", "d")
+// Guards against a node that reports itself isolated although it can answer requests.
+func TestLossOfOneDataCentreDoesNotIsolateNode(t *testing.T) {
+	withHarness(t, shards(4, "b", "c"), func(r *harness) {
+		r.addReplica("idle", "d")
 		f := r.node("a", nil)
 		r.network.Cut("a", "b")
 		for range 40 {
-			go r.ask(f, 10*ms)
+			go r.serve(f, 10*ms)
 			time.Sleep(50 * ms)
 			r.Assert(f.Isolated(), qt.IsFalse)
 		}
-		a, _ := r.ask(f, 10*ms)
-		r.records(a)
+		a, _ := r.serve(f, 10*ms)
+		r.checkRecords(a)
 		r.Assert(a.Missing, qt.Equals, 0)
 	})
 }
--- a/node/forward/rig_test.go
+++ b/node/forward/harness_test.go
@@ -33,7 +33,7 @@
 	headerNotRun    = "Not-Run"
 )
 
-// dialect is that of the stand-in replicas.
+// dialect is the dialect of the stand-in replicas.
 type dialect struct{}
 
 func (dialect) Address(h http.Header, replicaID string, left time.Duration) {
@@ -49,28 +49,28 @@
 	}
 }
 
-// source is a fixed view.
+// source provides a fixed view.
 type source struct{ view *directory.View }
 
 func (s source) View() *directory.View { return s.view }
 func (source) FleetSize() float64      { return 1 }
 
-// replica is a stand-in for one backend server. Its part holds one record, its ID.
+// replica is a stand-in for one backend server. Its part holds one record with its ID.
 type replica struct {
 	registry.Replica
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// takes is how long an answer takes.
-	takes time.Duration
-	// refusals is how many requests it still refuses.
+	// latency is how long an answer takes.
+	latency time.Duration
+	// refusals is how many of the next requests are refused.
 	refusals int
-	// asked is how many requests have arrived.
-	asked int
-	conns []net.Conn
+	// requests is how many requests have arrived.
+	requests int
+	conns    []net.Conn
 }
 
-// close ends the connections that the other end may have forgotten.
+// close closes all accepted connections.
 func (r *replica) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,25 +85,25 @@
 	change(r)
 }
 
-func (r *replica) count() int {
+func (r *replica) requestCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.asked
+	return r.requests
 }
 
-// take counts a request and returns how it is answered.
-func (r *replica) take() (takes time.Duration, refused bool) {
+// recordRequest counts a request and returns how to answer it.
+func (r *replica) recordRequest() (latency time.Duration, refused bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.asked++
+	r.requests++
 	if r.refusals > 0 {
 		r.refusals--
 		return 0, true
 	}
-	return r.takes, false
+	return r.latency, false
 }
 
-// record is the 16 bytes of a name.
+// record returns the 16-byte record with a name.
 func record(name string) string { return fmt.Sprintf("%-16s", name) }
 
 // serve answers the requests on one connection.
@@ -115,8 +115,8 @@
 		if err != nil {
 			return
 		}
-		takes, refused := r.take()
-		time.Sleep(takes)
+		latency, refused := r.recordRequest()
+		time.Sleep(latency)
 		id := req.Header.Get(headerID)
 		var out bytes.Buffer
 		if refused {
@@ -143,8 +143,8 @@
 	}
 }
 
-// rig is replicas in data centres and the forwarders of some nodes.
-type rig struct {
+// harness holds replicas in data centres and the forwarders of some nodes.
+type harness struct {
 	*qt.C
 	network  *memnet.Network
 	view     *directory.View
@@ -153,11 +153,11 @@
 	closers  []func()
 }
 
-// run plays a test in virtual time. place names the data centres of the replicas of each
-// shard.
-func run(t *testing.T, place map[string][]string, test func(r *rig)) {
+// withHarness runs a test in virtual time. placement maps each shard to the data centres
+// of its replicas.
+func withHarness(t *testing.T, placement map[string][]string, test func(r *harness)) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &rig{
+		r := &harness{
 			C:        qt.New(t),
 			network:  memnet.New(time.Millisecond),
 			view:     &directory.View{Replicas: make(map[string][]*registry.Replica), At: time.Now()},
@@ -167,17 +167,17 @@
 				Timeout: time.Second, Objective: 100 * time.Millisecond, TopRecords: 100, MinCoverage: 0.75,
 			},
 		}
-		for shard, centres := range place {
+		for shard, centres := range placement {
 			r.route.Shards = append(r.route.Shards, shard)
 			for _, dc := range centres {
-				r.place(shard, dc)
+				r.addReplica(shard, dc)
 			}
 		}
 		defer func() {
-			// A connection that is closed between two reads holds virtual time up.
+			// Closing a connection between two reads would block virtual time.
 			time.Sleep(time.Second)
-			for _, end := range r.closers {
-				end()
+			for _, stop := range r.closers {
+				stop()
 			}
 			time.Sleep(time.Minute)
 		}()
@@ -185,14 +185,14 @@
 	})
 }
 
-// place starts a replica of a shard, shard-dc, in a data centre.
-func (r *rig) place(shard, dc string) {
+// addReplica starts a replica of a shard in a data centre. Its ID is shard-dc.
+func (r *harness) addReplica(shard, dc string) {
 	l, err := r.network.Listen(dc, "127.0.0.1:0")
 	r.Assert(err, qt.IsNil)
 	id := shard + "-" + dc
 	rep := &replica{
 		Replica: registry.Replica{ID: id, Service: shard, Address: l.Addr().String(), DataCentre: dc},
-		takes:   5 * time.Millisecond,
+		latency: 5 * time.Millisecond,
 	}
 	r.replicas[id] = rep
 	r.view.Replicas[shard] = append(r.view.Replicas[shard], &rep.Replica)
@@ -200,23 +200,23 @@
 	go rep.listen(l)
 }
 
-// node returns the forwarder of a node in a data centre.
-func (r *rig) node(dc string, neighbours forward.BatchSender) *forward.Forwarder {
+// node starts the forwarder of a node in a data centre.
+func (r *harness) node(dc string, sender forward.BatchSender) *forward.Forwarder {
 	if r.view.Index == nil {
 		r.view.Index = route.NewIndex(&route.Configuration{Version: 1, Routes: []route.Route{r.route}})
 	}
 	client := backend.New(backend.Options{
 		Dial: r.network.Dialer(dc), DialTimeout: 500 * time.Millisecond, HoldClosed: time.Second,
 	})
-	f := forwarder(r.view, client, dc, neighbours)
+	f := forwarder(r.view, client, dc, sender)
 	ctx, cancel := context.WithCancel(context.Background())
 	go f.Run(ctx)
 	r.closers = append(r.closers, cancel, client.Close)
 	return f
 }
 
-// forwarder returns the forwarder of a node that knows a view.
-func forwarder(view *directory.View, client *backend.Client, dc string, neighbours forward.BatchSender) *forward.Forwarder {
+// forwarder returns a forwarder that has received a view.
+func forwarder(view *directory.View, client *backend.Client, dc string, sender forward.BatchSender) *forward.Forwarder {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	log.SetLevel(logrus.ErrorLevel)
@@ -225,7 +225,7 @@
 		Backend:     client,
 		Dialect:     dialect{},
 		DataCentre:  dc,
-		BatchSender: neighbours,
+		BatchSender: sender,
 		RetryBudget: retrybudget.Bound{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second},
 		Log:         log,
 	})
@@ -233,8 +233,8 @@
 	return f
 }
 
-// ask sends one request and returns its answer and how long it took.
-func (r *rig) ask(f *forward.Forwarder, reserve time.Duration) (forward.Answer, time.Duration) {
+// serve serves one request and returns its answer and latency.
+func (r *harness) serve(f *forward.Forwarder, reserve time.Duration) (forward.Answer, time.Duration) {
 	began := time.Now()
 	a := f.Serve(context.Background(), &forward.Request{
 		ID: "q", Method: http.MethodGet, Target: "/x", Path: "/x", Host: "h.example",
@@ -244,16 +244,16 @@
 	return a, time.Since(began)
 }
 
-// records checks that an answer holds exactly one part of each of its shards, with the
-// records of these parts.
-func (r *rig) records(a forward.Answer) {
+// checkRecords checks that an answer holds at most one part of each shard, exactly the
+// records of these parts, and the right number of missing shards.
+func (r *harness) checkRecords(a forward.Answer) {
 	r.Assert(a.Outcome, qt.Equals, forward.Merged)
 	seen := make(map[string]bool)
 	want := make(map[string]bool)
 	for _, signature := range a.Signatures {
 		id := signature[len("of-"):]
 		shard := r.replicas[id].Service
-		r.Assert(seen[shard], qt.IsFalse, qt.Commentf("two parts of %s", shard))
+		r.Assert(seen[shard], qt.IsFalse, qt.Commentf("two parts of shard %s", shard))
 		seen[shard] = true
 		want[record(id)] = true
 	}
@@ -265,15 +265,15 @@
 	r.Assert(len(a.Signatures)+a.Missing, qt.Equals, len(r.route.Shards))
 }
 
-// most checks that no shard was asked at more replicas than the route allows.
-func (r *rig) most() {
-	asked := make(map[string]int)
+// checkMaxAttempts checks that no shard was sent to more replicas than the route allows.
+func (r *harness) checkMaxAttempts() {
+	replicasUsed := make(map[string]int)
 	for _, rep := range r.replicas {
-		if rep.count() > 0 {
-			asked[rep.Service]++
+		if rep.requestCount() > 0 {
+			replicasUsed[rep.Service]++
 		}
 	}
-	for shard, n := range asked {
-		r.Assert(n <= r.route.MaxAttempts, qt.IsTrue, qt.Commentf("%s was asked at %d replicas", shard, n))
+	for shard, n := range replicasUsed {
+		r.Assert(n <= r.route.MaxAttempts, qt.IsTrue, qt.Commentf("shard %s was sent to %d replicas", shard, n))
 	}
 }
--- a/node/forward/reach.go
+++ b/node/forward/reach.go
@@ -20,29 +20,28 @@
 )
 
 const (
-	// reachInterval is how often it is judged which data centres are out of reach,
-	// and probes are sent.
-	reachInterval = 200 * time.Millisecond
-	// probeTimeout bounds a probe; a connection inside a region takes two
-	// milliseconds.
+	// evaluationInterval is the interval between evaluations of the data centres'
+	// reachability, and between probes.
+	evaluationInterval = 200 * time.Millisecond
+	// probeTimeout bounds a probe. Opening a connection within a region takes 2 ms.
 	probeTimeout = 150 * time.Millisecond
-	// silentAfter is the age from which an attempt that nobody waits for any more
-	// tells that its replica was silent.
-	silentAfter = 200 * time.Millisecond
+	// silenceThreshold is the age from which an attempt that is in flight, or was
+	// abandoned, indicates that its replica does not answer.
+	silenceThreshold = 200 * time.Millisecond
 )
 
-// reachability evaluates which data centres can be reached. A node that reaches no other one
-// reports itself unready, so that the balancer sends its callers to nodes that can serve
-// them; it refuses at once those that still come.
+// reachability evaluates which data centres can be reached. A node that reaches no other
+// data centre reports itself unready, so that the load balancer sends its callers to nodes
+// that can serve them. The node immediately refuses requests that still arrive.
 type reachability struct {
 	backend *backend.Client
 	log     logrus.FieldLogger
-	// judged is what requests go by.
-	judged atomic.Pointer[reach.Reachability]
-	// waiting returns the attempts that have been out for longer than an age.
-	waiting func(now time.Time, age time.Duration) []reach.PendingAttempt
-	// last is when it was judged last; only run uses it.
-	last time.Time
+	// current is the newest evaluation, which requests use.
+	current atomic.Pointer[reach.Reachability]
+	// pending returns the attempts that have been in flight for longer than an age.
+	pending func(now time.Time, age time.Duration) []reach.PendingAttempt
+	// lastEvaluation is the time of the last round. Only the goroutine of run uses it.
+	lastEvaluation time.Time
 
 	// mu guards the fields below.
 	mu       sync.Mutex
@@ -53,12 +52,12 @@
 
 func newReachability(own string, client *backend.Client, log logrus.FieldLogger) *reachability {
 	r := &reachability{backend: client, log: log, tracker: reach.New(own)}
-	r.judged.Store(&reach.Reachability{})
+	r.current.Store(&reach.Reachability{})
 	return r
 }
 
-// keep takes the data centres of a new view.
-func (r *reachability) keep(v *directory.View) {
+// update applies the replicas and data centres of a new view.
+func (r *reachability) update(v *directory.View) {
 	replicas := make(map[string][]*registry.Replica)
 	counts := make(map[string]int)
 	for _, list := range v.Replicas {
@@ -73,10 +72,10 @@
 	r.tracker.SetDataCentres(time.Now(), counts)
 }
 
-// note takes the end of an attempt.
-func (r *reachability) note(replica *registry.Replica, reply *backend.ForwardReply) {
+// recordResult records whether the replica of an attempt answered.
+func (r *reachability) recordResult(replica *registry.Replica, reply *backend.ForwardReply) {
 	answered := reply.Status != 0 || reply.Reason == pb.Reason_REASON_MISMATCH
-	if ofNeighbour(reply) {
+	if isSenderFailure(reply) {
 		return
 	}
 	abandoned := reply.Reason == pb.Reason_REASON_CANCELLED || reply.Reason == pb.Reason_REASON_DEADLINE
@@ -85,19 +84,19 @@
 	switch {
 	case answered:
 		r.tracker.RecordAnswer(time.Now(), replica.DataCentre)
-	case abandoned && reply.Took < silentAfter:
-		// It may have been about to answer.
+	case abandoned && reply.Took < silenceThreshold:
+		// The replica may still have been working on the request.
 	default:
 		r.tracker.RecordNoAnswer(replica.DataCentre, replica.ID)
 	}
 }
 
-// out returns the data centres that are out of reach.
-func (r *reachability) out() map[string]bool { return r.judged.Load().Unreachable }
+// unreachable returns the data centres that cannot be reached.
+func (r *reachability) unreachable() map[string]bool { return r.current.Load().Unreachable }
 
-// run judges until ctx ends.
+// run evaluates reachability and sends probes until ctx ends.
 func (r *reachability) run(ctx context.Context) {
-	ticker := time.NewTicker(reachInterval)
+	ticker := time.NewTicker(evaluationInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -105,35 +104,35 @@
 			return
 		case <-ticker.C:
 		}
-		for _, p := range r.judge() {
+		for _, p := range r.evaluate() {
 			go r.probe(ctx, p)
 		}
 	}
 }
 
-// probesEach is how many replicas of a data centre are probed in one round. One that is
-// down must not stand for its data centre.
-const probesEach = 2
+// probesPerDataCentre is how many replicas of a data centre are probed in one round. With a
+// single probe, one failed replica would make its data centre count as unreachable.
+const probesPerDataCentre = 2
 
-// judge publishes a new evaluation and returns the replicas to probe. A round that comes late
-// evaluates nothing: after a pause of the process every attempt looks old although its
-// answer may be in the socket.
-func (r *reachability) judge() []*registry.Replica {
+// evaluate publishes a new evaluation and returns the replicas to probe. A late round is
+// skipped: after a pause of the process, attempts look unanswered although their answers
+// may be in the socket buffers.
+func (r *reachability) evaluate() []*registry.Replica {
 	now := time.Now()
-	late := now.Sub(r.last) > 2*reachInterval
-	r.last = now
+	late := now.Sub(r.lastEvaluation) > 2*evaluationInterval
+	r.lastEvaluation = now
 	if late {
 		return nil
 	}
-	waiting := r.waiting(now, silentAfter)
+	waiting := r.pending(now, silenceThreshold)
 	r.mu.Lock()
 	next := r.tracker.Evaluate(now, waiting, r.sufficient)
 	var probes []*registry.Replica
 	for _, name := range next.Probe {
-		probes = append(probes, sample(r.replicas[name], probesEach)...)
+		probes = append(probes, sample(r.replicas[name], probesPerDataCentre)...)
 	}
 	r.mu.Unlock()
-	previous := r.judged.Swap(&next)
+	previous := r.current.Swap(&next)
 	if previous.Isolated != next.Isolated || !maps.Equal(previous.Unreachable, next.Unreachable) {
 		r.log.WithFields(logrus.Fields{
 			"out_of_reach": strings.Join(slices.Sorted(maps.Keys(next.Unreachable)), ","), "isolated": next.Isolated,
@@ -143,19 +142,19 @@
 }
 
 // sufficient reports whether gathered requests can be answered without the given data
-// centres. r.mu is held.
-func (r *reachability) sufficient(out map[string]bool) bool {
+// centres. The caller holds r.mu.
+func (r *reachability) sufficient(unreachable map[string]bool) bool {
 	if r.view == nil {
 		return true
 	}
 	return r.view.Index.CanGather(func(service string) bool {
 		return slices.ContainsFunc(r.view.Replicas[service], func(replica *registry.Replica) bool {
-			return !out[replica.DataCentre]
+			return !unreachable[replica.DataCentre]
 		})
 	})
 }
 
-// sample returns up to n of the replicas.
+// sample returns up to n of the replicas, chosen at random.
 func sample(replicas []*registry.Replica, n int) []*registry.Replica {
 	picked := make([]*registry.Replica, 0, n)
 	for _, i := range rand.Perm(len(replicas))[:min(n, len(replicas))] {
@@ -164,7 +163,7 @@
 	return picked
 }
 
-// probe opens a connection to a replica, to see whether its data centre is in reach.
+// probe records whether a connection to a replica can be opened.
 func (r *reachability) probe(ctx context.Context, replica *registry.Replica) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -178,15 +177,16 @@
 	}
 }
 
-// waiting returns the attempts of all services that have been out for longer than age.
-func (f *Forwarder) waiting(now time.Time, age time.Duration) []reach.PendingAttempt {
+// pendingAttempts returns the attempts of all services that have been in flight for longer
+// than age.
+func (f *Forwarder) pendingAttempts(now time.Time, age time.Duration) []reach.PendingAttempt {
 	f.mu.Lock()
 	services := slices.Collect(maps.Values(f.services))
 	f.mu.Unlock()
 	var list []reach.PendingAttempt
 	for _, s := range services {
 		s.mu.Lock()
-		s.set.ForEachPending(now, age, func(r *registry.Replica) {
+		s.balancer.ForEachPending(now, age, func(r *registry.Replica) {
 			list = append(list, reach.PendingAttempt{DataCentre: r.DataCentre, Replica: r.ID})
 		})
 		s.mu.Unlock()
@@ -194,8 +194,9 @@
 	return list
 }
 
-// Run keeps judging which data centres are in reach until ctx ends.
+// Run evaluates which data centres can be reached until ctx ends.
 func (f *Forwarder) Run(ctx context.Context) { f.reach.run(ctx) }
 
-// Isolated reports whether no other data centre is in reach.
-func (f *Forwarder) Isolated() bool { return f.reach.judged.Load().Isolated }
+// Isolated reports whether this node reaches no other data centre, or too few of them to
+// answer requests.
+func (f *Forwarder) Isolated() bool { return f.reach.current.Load().Isolated }
--- a/node/forward/story.go
+++ b/node/forward/requestlog.go
@@ -13,80 +13,81 @@
 	"github.com/carobmill/carobmill/policy/upstream"
 )
 
-// step is one attempt of a request, for its log line.
-type step struct {
+// attempt is one attempt of a request.
+type attempt struct {
 	shard   int
 	replica *registry.Replica
 	at      time.Duration
 	hedge   bool
-	// extra is set for all attempts of a shard but its first.
+	// extra is set for all attempts of a shard other than its first.
 	extra bool
-	// state and handle are the replica's entry in its service's tables.
+	// state and handle identify the attempt in its service's balancer.
 	state  *upstream.State
 	handle uint64
-	// call ends the attempt; set once it is sent.
+	// call ends the attempt; set once the attempt is sent.
 	call cancellable
-	// via is the node that sends it, when it is another one.
+	// via is the node that sends the attempt, if another node does.
 	via   string
 	ended bool
 	// refused is set when the replica stated that it did not run the request.
 	refused bool
 	endedAt time.Duration
 	status  int
-	why     string
+	reason  string
 }
 
-func (s *step) end(at time.Duration, reply *backend.ForwardReply) {
-	s.ended = true
-	s.endedAt = at
-	s.status = reply.Status
-	s.refused = reply.Notes.NotRun && !reply.Notes.OtherReplica
+func (a *attempt) end(at time.Duration, reply *backend.ForwardReply) {
+	a.ended = true
+	a.endedAt = at
+	a.status = reply.Status
+	a.refused = reply.Notes.NotRun && !reply.Notes.OtherReplica
 	switch {
 	case reply.Notes.OtherReplica:
-		s.why = "other replica"
+		a.reason = "other replica"
 	case reply.Notes.NotRun:
-		s.why = "refused"
+		a.reason = "refused"
 	case reply.Status == 0:
-		s.why = reply.Reason.String() + "/" + reply.Evidence.String()
-	case !good(reply):
-		s.why = "not a success"
+		a.reason = reply.Reason.String() + "/" + reply.Evidence.String()
+	case !successful(reply):
+		a.reason = "not a success"
 	}
 }
 
-// denial is an attempt that could not be sent, for the request's log line.
+// denial is an attempt that could not be sent.
 type denial struct {
-	shard int
-	at    time.Duration
-	why   string
-	hedge bool
+	shard  int
+	at     time.Duration
+	reason string
+	hedge  bool
 }
 
 // Reasons of denials.
 const (
-	// deniedNoReplica: every usable replica was tried, is out of reach, has all its
-	// connections in use, or bears no more.
+	// deniedNoReplica: every usable replica was tried, is unreachable, has all its
+	// connections in use, or accepts no more requests.
 	deniedNoReplica = "no replica"
-	// deniedNoBudget: the service's budget for extra requests is spent.
+	// deniedNoBudget: the service's retry budget is used up.
 	deniedNoBudget = "no budget"
 )
 
-// denialLine is a denial in a log line.
+// denialLine is a denial in the log line of its request.
 type denialLine struct {
 	Service string  `json:"service"`
 	At      float64 `json:"at_ms"`
-	Why     string  `json:"why"`
+	Reason  string  `json:"why"`
 	Hedge   bool    `json:"hedge,omitempty"`
 }
 
-func (q *run) denialLines() []denialLine {
+func (q *exchange) denialLines() []denialLine {
 	lines := make([]denialLine, 0, len(q.denials))
 	for _, d := range q.denials {
-		lines = append(lines, denialLine{Service: q.names[d.shard], At: ms(d.at), Why: d.why, Hedge: d.hedge})
+		lines = append(lines, denialLine{Service: q.names[d.shard], At: ms(d.at), Reason: d.reason, Hedge: d.hedge})
 	}
 	return lines
 }
 
-// attemptLine is a step in a log line. Times are milliseconds after the arrival.
+// attemptLine is an attempt in the log line of its request. Times are in milliseconds
+// after the request's arrival.
 type attemptLine struct {
 	Service string  `json:"service"`
 	Replica string  `json:"replica"`
@@ -95,27 +96,27 @@
 	End     float64 `json:"end_ms,omitempty"`
 	Hedge   bool    `json:"hedge,omitempty"`
 	Status  int     `json:"status,omitempty"`
-	Why     string  `json:"why,omitempty"`
+	Reason  string  `json:"why,omitempty"`
 }
 
-// log writes one line about the request: each of those that failed or were late, as
-// far as their budget goes, and a few of the others. Attempts without a fault are left
-// out of the line of a request that has one.
-func (q *run) log(a *Answer) {
-	took := q.since()
+// log writes one line about the request, as far as the line budget allows: its limit for
+// failed, incomplete and late requests is higher than for others. The line of such a request
+// omits attempts that answered early and without a fault.
+func (q *exchange) log(a *Answer) {
+	took := q.elapsed()
 	late := q.route.Objective > 0 && took > q.route.Objective
 	fault := a.Outcome >= NoRoute || a.Missing > 0 || late
-	if !q.f.lines.Take(time.Now(), fault) {
+	if !q.f.lineBudget.Take(time.Now(), fault) {
 		return
 	}
-	attempts := make([]attemptLine, 0, len(q.story))
-	for _, s := range q.story {
-		if fault && s.ended && s.why == "" && !s.hedge && s.endedAt < q.route.Objective/2 {
+	attempts := make([]attemptLine, 0, len(q.attempts))
+	for _, s := range q.attempts {
+		if fault && s.ended && s.reason == "" && !s.hedge && s.endedAt < q.route.Objective/2 {
 			continue
 		}
 		attempts = append(attempts, attemptLine{
 			Service: q.names[s.shard], Replica: s.replica.ID, Via: s.via, At: ms(s.at), End: ms(s.endedAt),
-			Hedge: s.hedge, Status: s.status, Why: s.why,
+			Hedge: s.hedge, Status: s.status, Reason: s.reason,
 		})
 	}
 	q.f.opts.Log.WithFields(logrus.Fields{
@@ -129,14 +130,14 @@
 		"took_ms":  ms(took),
 		"limit_ms": ms(q.deadline.Sub(q.req.Arrived)),
 		"missing":  a.Missing,
-		"gone":     q.gone,
+		"gone":     q.cancelled,
 		"shards":   len(q.names),
 		"hedges":   q.hedged,
 		"attempts": attempts,
 		"denied":   q.denialLines(),
 		"most":     q.route.MaxAttempts,
 		"repeat":   q.route.Idempotent,
-		"out":      strings.Join(slices.Sorted(maps.Keys(q.outOfReach)), ","),
+		"out":      strings.Join(slices.Sorted(maps.Keys(q.unreachable)), ","),
 	}).Info("request")
 }
 
--- a/node/forward/run.go
+++ b/node/forward/run.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	// answerMargin is taken off the caller's patience, for the way of the answer.
+	// answerMargin is subtracted from the caller's timeout, for the transit of the answer.
 	answerMargin = 8 * time.Millisecond
-	// lateTimer is how late the timer of an answer that is due may be.
-	lateTimer = 10 * time.Millisecond
-	// defaultPatience stands in for callers that do not say how long they wait and
-	// routes without a timeout.
-	defaultPatience = 30 * time.Second
-	// lingerFor is how long a loser may go on so that its connection can be kept. It
-	// covers an ordinary pause of a replica; a new connection costs it a slot.
-	lingerFor = 250 * time.Millisecond
+	// timerTolerance is how late the timer of an answer may fire.
+	timerTolerance = 10 * time.Millisecond
+	// defaultCallerTimeout applies to requests without a timeout of the caller or the
+	// route.
+	defaultCallerTimeout = 30 * time.Second
+	// loserLinger is how long an attempt whose answer is no longer needed may continue, so
+	// that its connection can be reused. It covers a typical pause of a replica. A new
+	// connection would cost the replica a slot.
+	loserLinger = 250 * time.Millisecond
 )
 
-// run is one request under way. Its fields belong to the goroutine of serve, but for
-// those that say otherwise.
-type run struct {
+// exchange is one request in progress. Only the goroutine of serve changes its fields. The
+// goroutines of attempts read fields that are set before the first attempt is sent.
+type exchange struct {
 	f     *Forwarder
 	view  *directory.View
 	route *route.Route
@@ -36,96 +37,98 @@
 	names    []string
 	services []*service
 	query    *gather.Query
-	// outOfReach holds the data centres that could not be reached when the request
-	// came.
-	outOfReach map[string]bool
-	deadline   time.Time
-	// objective is when an answer has to be given to reach its caller within the route's.
-	objective time.Duration
-	parts     []backend.ForwardReply
-	events    *work.Inbox[event]
-	hedging   gather.HedgeDelay
-	// groups are the records of parts that came merged, whose bodies are empty.
-	groups [][]byte
-	// ran is set once an attempt may have run at a replica.
-	ran bool
-	// last is the newest failure that a replica answered with, if any.
-	last  *backend.ForwardReply
-	story []step
-	// denials are the attempts that could not be sent.
-	denials []denial
-	hedged  int
-	// gone is set when the caller has left.
-	gone bool
+	// unreachable holds the data centres that could not be reached when the request
+	// arrived.
+	unreachable map[string]bool
+	deadline    time.Time
+	// objective is when an answer must be returned to reach the caller within the route's
+	// objective, counted from the arrival.
+	objective   time.Duration
+	parts       []backend.ForwardReply
+	completions *work.Inbox[completion]
+	hedgeDelay  gather.HedgeDelay
+	// mergedRecords holds the records of parts that arrived merged; their parts have no
+	// bodies.
+	mergedRecords [][]byte
+	// mayHaveRun is set once an attempt may have run at a replica.
+	mayHaveRun bool
+	// lastFailure is the newest failure that a replica answered with, if any.
+	lastFailure *backend.ForwardReply
+	attempts    []attempt
+	denials     []denial
+	hedged      int
+	// cancelled is set when the caller has disconnected.
+	cancelled bool
 }
 
-// event is the end of one attempt, or of some of a batch.
-type event struct {
-	ends []attemptEnd
-	// merged is set where records holds those of the successful ones, which have no
-	// bodies.
+// completion reports the results of one attempt, or of several attempts of a batch.
+type completion struct {
+	results []attemptResult
+	// merged is set if records holds the merged records of the successful replies, which
+	// then have no bodies.
 	merged  bool
 	records []byte
 }
 
-// attemptEnd is the end of an attempt.
-type attemptEnd struct {
+// attemptResult is the result of the attempt at an index of exchange.attempts.
+type attemptResult struct {
 	shard int
-	step  int
+	index int
 	reply *backend.ForwardReply
 }
 
-func newRun(f *Forwarder, view *directory.View, r *route.Route, c *class, req *Request) *run {
-	q := &run{f: f, view: view, route: r, class: c, req: req, names: c.targets(r), outOfReach: f.reach.out()}
+func newExchange(f *Forwarder, view *directory.View, r *route.Route, c *class, req *Request) *exchange {
+	q := &exchange{f: f, view: view, route: r, class: c, req: req, names: c.targets(r), unreachable: f.reach.unreachable()}
 	n := len(q.names)
-	patience := defaultPatience
+	timeout := defaultCallerTimeout
 	if req.CallerTimeout > 0 {
-		patience = req.CallerTimeout - answerMargin
+		timeout = req.CallerTimeout - answerMargin
 	}
 	if r.Timeout > 0 {
-		patience = min(patience, r.Timeout)
+		timeout = min(timeout, r.Timeout)
 	}
-	q.deadline = req.Arrived.Add(patience)
+	q.deadline = req.Arrived.Add(timeout)
 	minCoverage := 1.0
 	if r.Gathers() {
 		minCoverage = r.MinCoverage
 	}
 	attempts := max(r.MaxAttempts, 1)
 	q.objective = gather.AnswerDeadline(r.Objective, req.TransitReserve)
-	q.hedging = c.hedging(q.objective)
+	q.hedgeDelay = c.hedgeDelay(q.objective)
 	q.query = gather.New(gather.Params{
 		Shards:      n,
 		MaxAttempts: attempts,
 		MinCoverage: minCoverage,
 		Objective:   q.objective,
-		Deadline:    patience,
+		Deadline:    timeout,
 		Idempotent:  r.Idempotent,
 	})
 	q.services = make([]*service, n)
 	q.parts = make([]backend.ForwardReply, n)
-	q.story = make([]step, 0, n+2)
-	q.events = work.NewInbox[event](n)
+	q.attempts = make([]attempt, 0, n+2)
+	q.completions = work.NewInbox[completion](n)
 	return q
 }
 
-// maxElsewhere bounds the attempts of a shard that reached a replica that was not
-// meant, or none: they do not count as attempts.
-const maxElsewhere = 4
+// maxUncountedAttempts is the number of attempts of a shard up to which an attempt that
+// reached another replica, or none, does not count towards the route's MaxAttempts.
+const maxUncountedAttempts = 4
 
-func (q *run) since() time.Duration { return time.Since(q.req.Arrived) }
+func (q *exchange) elapsed() time.Duration { return time.Since(q.req.Arrived) }
 
-// due returns when the answer that is given now was due: a timer may have been late.
-func (q *run) due() time.Duration {
-	now := q.since()
-	if q.objective > 0 && now > q.objective && now < q.objective+lateTimer {
+// dueAt returns when an answer that is returned now was due. If the timer of the objective
+// fired late, that is the objective.
+func (q *exchange) dueAt() time.Duration {
+	now := q.elapsed()
+	if q.objective > 0 && now > q.objective && now < q.objective+timerTolerance {
 		return q.objective
 	}
 	return now
 }
 
-// serve carries the request to its answer.
-func (q *run) serve(ctx context.Context) Answer {
-	defer q.endAll()
+// serve sends the attempts of the request and returns its answer.
+func (q *exchange) serve(ctx context.Context) Answer {
+	defer q.cancelOutstanding()
 	now := time.Now()
 	for i, name := range q.names {
 		s := q.f.service(name)
@@ -137,68 +140,68 @@
 			q.query.GiveUp(i)
 		}
 	}
-	if verdict, _ := q.query.Decide(q.since()); verdict == gather.Failure {
-		// Too few shards can take the request: it is refused before any of them works
-		// for it, so that those that are well are kept for requests that can succeed.
-		q.undo()
-		return q.finish(verdict)
+	if decision, _ := q.query.Decide(q.elapsed()); decision == gather.Failure {
+		// Too few shards have a replica for the request. It is refused before anything is
+		// sent, so that replicas spend no capacity on a request that cannot succeed.
+		q.undoReserved()
+		return q.finish(decision)
 	}
 	q.launchAll()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var events []event
+	var completed []completion
 	for {
-		next := min(q.hedges(), q.again())
-		verdict, look := q.query.Decide(q.since())
-		if verdict != gather.Wait {
-			return q.finish(verdict)
+		next := min(q.sendDueHedges(), q.sendDueRetries())
+		decision, recheck := q.query.Decide(q.elapsed())
+		if decision != gather.Wait {
+			return q.finish(decision)
 		}
-		timer.Reset(max(min(next, look)-q.since(), 0))
+		timer.Reset(max(min(next, recheck)-q.elapsed(), 0))
 		select {
-		case <-q.events.Ready():
-			events = q.events.Take(events)
-			for _, e := range events {
-				q.take(e)
+		case <-q.completions.Ready():
+			completed = q.completions.Take(completed)
+			for _, e := range completed {
+				q.handleCompletion(e)
 			}
 		case <-timer.C:
 		case <-ctx.Done():
-			q.gone = true
+			q.cancelled = true
 			return q.finish(gather.DeadlineExceeded)
 		}
 	}
 }
 
-// endAll ends the attempts that are still out. When the caller has left, or the
-// deadline has passed, their replicas are freed at once.
-func (q *run) endAll() {
-	linger := lingerFor
-	if q.gone || time.Now().After(q.deadline) {
+// cancelOutstanding ends the attempts that are in flight. When the caller has disconnected
+// or the deadline has passed, they are cancelled at once, which frees their replicas.
+func (q *exchange) cancelOutstanding() {
+	linger := loserLinger
+	if q.cancelled || time.Now().After(q.deadline) {
 		linger = 0
 	}
-	for i := range q.story {
-		if !q.story[i].ended {
-			q.story[i].call.End(linger)
+	for i := range q.attempts {
+		if !q.attempts[i].ended {
+			q.attempts[i].call.End(linger)
 		}
 	}
 }
 
-// again sends the attempts that were put off after refusals and returns when the next
-// one is due.
-func (q *run) again() time.Duration {
-	return q.query.SendDueRetries(q.since(), func(i int) {
-		if !q.sendAgain(i) {
+// sendDueRetries sends the due attempts that were scheduled after refusals, and returns
+// when the next one is due.
+func (q *exchange) sendDueRetries() time.Duration {
+	return q.query.SendDueRetries(q.elapsed(), func(i int) {
+		if !q.sendRetry(i) {
 			q.query.GiveUp(i)
 		}
 	})
 }
 
-// hedges sends the hedges that are due and returns when the next one is.
-func (q *run) hedges() time.Duration {
+// sendDueHedges sends the due hedges and returns when the next one is due.
+func (q *exchange) sendDueHedges() time.Duration {
 	size := q.f.opts.Source.FleetSize()
 	after := func(i int) time.Duration {
-		return q.hedging.After(q.services[i].spareUsed(size))
+		return q.hedgeDelay.After(q.services[i].optionalBudgetUsed(size))
 	}
-	return q.query.Hedges(q.since(), q.hedging.Min(), after, func(i int) {
+	return q.query.Hedges(q.elapsed(), q.hedgeDelay.Min(), after, func(i int) {
 		if !q.send(i, true) {
 			q.query.GiveUp(i)
 			return
--- a/node/forward/servebatch.go
+++ b/node/forward/servebatch.go
@@ -12,22 +12,23 @@
 	"github.com/carobmill/carobmill/policy/registry"
 )
 
-// flushAfter is how long a reply may wait for others to be sent back with it.
+// flushAfter is how long a reply waits for others to be delivered together with it.
 const flushAfter = 3 * time.Millisecond
 
 // ServeBatch sends the attempts of a batch for another node, which has chosen the replicas
-// and counts the attempts. It calls deliver with replies that came at about the same time,
-// and returns once each replica has one, ctx has ended, or deliver has failed.
+// and counts the attempts. It calls deliver with groups of replies that arrive within
+// flushAfter. It returns once each replica has a reply, ctx has ended, or deliver has
+// failed.
 func (f *Forwarder) ServeBatch(ctx context.Context, b *Batch, deliver func(PartReplies) error) error {
 	if ctx.Err() != nil {
-		// A paused process finds the batch and its end in the socket together.
+		// After a pause of this process, a batch may arrive together with its cancellation.
 		return ctx.Err()
 	}
 	inbox := work.NewInbox[PartReply](len(b.Replicas))
 	calls := f.sendBatch(b, inbox)
 	defer func() {
 		for _, call := range calls {
-			call.End(lingerFor)
+			call.End(loserLinger)
 		}
 	}()
 	var waiting []PartReply
@@ -48,7 +49,7 @@
 		}
 		flush = nil
 		open -= len(waiting)
-		if err := deliver(grouped(waiting, b.TopRecords)); err != nil {
+		if err := deliver(mergeSuccesses(waiting, b.TopRecords)); err != nil {
 			return err
 		}
 		waiting = nil
@@ -56,15 +57,16 @@
 	return nil
 }
 
-// sendBatch sends the attempts of a batch and returns those that were sent.
+// sendBatch sends the attempts of a batch and returns their calls. An unknown replica gets
+// a reply in inbox and no call.
 func (f *Forwarder) sendBatch(b *Batch, inbox *work.Inbox[PartReply]) []*backend.Forward {
-	var known map[string]*registry.Replica
+	var current map[string]*registry.Replica
 	if replicas := f.replicas.Load(); replicas != nil {
-		known = *replicas
+		current = *replicas
 	}
 	calls := make([]*backend.Forward, 0, len(b.Replicas))
 	for i, id := range b.Replicas {
-		replica := known[id]
+		replica := current[id]
 		if replica == nil {
 			inbox.Put(PartReply{Replica: i, Reply: backend.ForwardReply{
 				Reason: pb.Reason_REASON_NO_REPLICA, Evidence: pb.Evidence_EVIDENCE_NOT_RUN,
@@ -81,16 +83,17 @@
 	return calls
 }
 
-// grouped merges the successful ones of some replies.
-func grouped(replies []PartReply, topRecords int) PartReplies {
+// mergeSuccesses merges the records of the successful replies and removes all headers and
+// bodies.
+func mergeSuccesses(replies []PartReply, topRecords int) PartReplies {
 	var bodies [][]byte
 	for i := range replies {
 		reply := &replies[i].Reply
 		switch {
-		case good(reply):
+		case successful(reply):
 			bodies = append(bodies, reply.Body)
 		case reply.Status >= http.StatusOK && reply.Status < http.StatusMultipleChoices:
-			// The other node sees no header that tells why this is no success.
+			// The other node does not receive the headers that show why this is not a success.
 			reply.Status = http.StatusBadGateway
 		}
 		reply.Header, reply.Body = nil, nil
