--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -41,8 +41,8 @@
 	Owners(r *config.Replica) []fleet.Member
 	Self() fleet.Member
 	Ready() (bool, string)
-	// Suspected takes in that a call to a peer failed.
-	Suspected(node string)
+	// ReportCallFailure takes in that a call to a peer failed.
+	ReportCallFailure(node string)
 }
 
 // Peers carries messages to other owners.
@@ -56,7 +56,7 @@
 type Local interface {
 	Submit(ctx context.Context, req owner.Request, reply func(*pb.SubrequestResult))
 	Execute(ctx context.Context, req owner.Request) *pb.SubrequestResult
-	News(service string, since uint64) ([]*pb.ReplicaNews, uint64)
+	ReportsSince(service string, since uint64) ([]*pb.ReplicaNews, uint64)
 }
 
 // Options are the parts that an Entry is built from.
--- a/node/entry/run.go
+++ b/node/entry/run.go
@@ -253,7 +253,7 @@
 
 func (r *runner) sendLocal(p *part) {
 	self := r.entry.Fleet.Self().ID()
-	news, revision := r.entry.Local.News(r.svc.Name, r.tables.heardUpTo(self))
+	news, revision := r.entry.Local.ReportsSince(r.svc.Name, r.tables.heardUpTo(self))
 	r.tables.hear(time.Now(), self, news, revision)
 	reply := func(result *pb.SubrequestResult) { r.replies.Put(result) }
 	for _, s := range p.sends {
@@ -307,7 +307,7 @@
 	})
 	if err != nil && r.ctx.Err() == nil {
 		r.entry.silent.failed(to.ID(), time.Now())
-		r.entry.Fleet.Suspected(to.Name)
+		r.entry.Fleet.ReportCallFailure(to.Name)
 	}
 	r.replies.Put(missing...)
 }
--- a/node/forward/attempt.go
+++ b/node/forward/attempt.go
@@ -171,8 +171,8 @@
 }
 
 // newCall returns an attempt of a request at a replica.
-func newCall(req *Request, to *registry.Replica, deadline time.Time) *backend.Forward {
-	return &backend.Forward{
+func newCall(req *Request, to *registry.Replica, deadline time.Time) *backend.ForwardRequest {
+	return &backend.ForwardRequest{
 		Replica:   &config.Replica{Name: to.ID, Address: to.Address},
 		RequestID: req.ID,
 		Method:    req.Method,
@@ -200,9 +200,9 @@
 // resultOf classifies a reply for the balancer.
 func resultOf(reply *backend.ForwardReply) upstream.Result {
 	switch {
-	case reply.Notes.OtherReplica:
+	case reply.Metadata.OtherReplica:
 		return upstream.WrongReplica
-	case reply.Notes.NotRun:
+	case reply.Metadata.NotRun:
 		return upstream.Refused
 	case successful(reply):
 		return upstream.Answered
@@ -225,14 +225,14 @@
 // successful reports whether a reply is a success with a signature, in a usable encoding.
 func successful(reply *backend.ForwardReply) bool {
 	return reply.Status >= http.StatusOK && reply.Status < http.StatusMultipleChoices &&
-		reply.Notes.Signature != "" && reply.Header.Get("Content-Encoding") == "" && !reply.Notes.NotRun
+		reply.Metadata.Signature != "" && reply.Header.Get("Content-Encoding") == "" && !reply.Metadata.NotRun
 }
 
 // forwardableFailure reports whether a reply may be forwarded to the caller as the replica's
 // failure. A success status without a signature may not: the caller would accept the reply
 // although its sender is unknown.
 func forwardableFailure(reply *backend.ForwardReply) bool {
-	return reply.Status >= http.StatusMultipleChoices && !reply.Notes.NotRun && !reply.Notes.OtherReplica
+	return reply.Status >= http.StatusMultipleChoices && !reply.Metadata.NotRun && !reply.Metadata.OtherReplica
 }
 
 // handleCompletion applies the results of a completion.
@@ -264,7 +264,7 @@
 	if forwardableFailure(e.reply) {
 		q.lastFailure = e.reply
 	}
-	reached := e.reply.Status != 0 && !e.reply.Notes.OtherReplica || e.reply.Evidence != pb.Evidence_EVIDENCE_NOT_RUN
+	reached := e.reply.Status != 0 && !e.reply.Metadata.OtherReplica || e.reply.Evidence != pb.Evidence_EVIDENCE_NOT_RUN
 	if !reached && q.attemptCount(e.shard) > maxUncountedAttempts {
 		reached = true
 	}
@@ -289,7 +289,7 @@
 	if successful(reply) {
 		return true
 	}
-	if q.route.Gathers() || reply.Notes.NotRun || reply.Notes.OtherReplica {
+	if q.route.Gathers() || reply.Metadata.NotRun || reply.Metadata.OtherReplica {
 		return false
 	}
 	return reply.Status >= http.StatusMultipleChoices && reply.Status < http.StatusInternalServerError &&
@@ -300,7 +300,7 @@
 func (q *exchange) cancelOthers(shard int) {
 	for i := range q.attempts {
 		if a := &q.attempts[i]; a.shard == shard && !a.ended {
-			a.call.End(loserLinger)
+			a.call.Cancel(loserLinger)
 		}
 	}
 }
--- a/node/forward/batch.go
+++ b/node/forward/batch.go
@@ -46,15 +46,15 @@
 	SendBatch(ctx context.Context, dataCentre string, b *Batch, deliver func(PartReplies)) (node string, ok bool)
 }
 
-// cancellable ends an attempt. Its reply may still arrive within linger.
-type cancellable interface{ End(linger time.Duration) }
+// cancellable cancels an attempt. Its reply may still arrive within linger.
+type cancellable interface{ Cancel(linger time.Duration) }
 
 // batchCall is a batch in flight.
 type batchCall struct {
 	cancel context.CancelFunc
 	// mu guards the fields below.
 	mu sync.Mutex
-	// wanted is the number of attempts that are neither ended nor answered.
+	// wanted is the number of attempts that are neither cancelled nor answered.
 	wanted int
 }
 
@@ -64,8 +64,8 @@
 	once sync.Once
 }
 
-// End implements cancellable. The batch continues while any of its attempts is wanted.
-func (a *batchAttempt) End(linger time.Duration) {
+// Cancel implements cancellable. The batch continues while any of its attempts is wanted.
+func (a *batchAttempt) Cancel(linger time.Duration) {
 	a.once.Do(func() {
 		a.call.mu.Lock()
 		a.call.wanted--
@@ -139,7 +139,7 @@
 	for k := range r.Replies {
 		reply := &r.Replies[k].Reply
 		a := &attempts[r.Replies[k].Replica]
-		a.call.End(loserLinger)
+		a.call.Cancel(loserLinger)
 		q.recordResult(q.services[a.shard], a.state, a.handle, reply)
 		q.f.reach.recordResult(a.replica, reply)
 		if reply.Took > 0 {
--- a/node/forward/requestlog.go
+++ b/node/forward/requestlog.go
@@ -24,7 +24,7 @@
 	// state and handle identify the attempt in its service's balancer.
 	state  *upstream.State
 	handle uint64
-	// call ends the attempt; set once the attempt is sent.
+	// call cancels the attempt; set once the attempt is sent.
 	call cancellable
 	// via is the node that sends the attempt, if another node does.
 	via   string
@@ -40,11 +40,11 @@
 	a.ended = true
 	a.endedAt = at
 	a.status = reply.Status
-	a.refused = reply.Notes.NotRun && !reply.Notes.OtherReplica
+	a.refused = reply.Metadata.NotRun && !reply.Metadata.OtherReplica
 	switch {
-	case reply.Notes.OtherReplica:
+	case reply.Metadata.OtherReplica:
 		a.reason = "other replica"
-	case reply.Notes.NotRun:
+	case reply.Metadata.NotRun:
 		a.reason = "refused"
 	case reply.Status == 0:
 		a.reason = reply.Reason.String() + "/" + reply.Evidence.String()
--- a/node/forward/run.go
+++ b/node/forward/run.go
@@ -180,7 +180,7 @@
 	}
 	for i := range q.attempts {
 		if !q.attempts[i].ended {
-			q.attempts[i].call.End(linger)
+			q.attempts[i].call.Cancel(linger)
 		}
 	}
 }
--- a/node/forward/servebatch.go
+++ b/node/forward/servebatch.go
@@ -28,7 +28,7 @@
 	calls := f.sendBatch(b, inbox)
 	defer func() {
 		for _, call := range calls {
-			call.End(loserLinger)
+			call.Cancel(loserLinger)
 		}
 	}()
 	var waiting []PartReply
@@ -59,12 +59,12 @@
 
 // sendBatch sends the attempts of a batch and returns their calls. An unknown replica gets
 // a reply in inbox and no call.
-func (f *Forwarder) sendBatch(b *Batch, inbox *work.Inbox[PartReply]) []*backend.Forward {
+func (f *Forwarder) sendBatch(b *Batch, inbox *work.Inbox[PartReply]) []*backend.ForwardRequest {
 	var current map[string]*registry.Replica
 	if replicas := f.replicas.Load(); replicas != nil {
 		current = *replicas
 	}
-	calls := make([]*backend.Forward, 0, len(b.Replicas))
+	calls := make([]*backend.ForwardRequest, 0, len(b.Replicas))
 	for i, id := range b.Replicas {
 		replica := current[id]
 		if replica == nil {
--- a/node/peer/fuzz_test.go
+++ b/node/peer/fuzz_test.go
@@ -61,7 +61,7 @@
 
 func (n *loneNode) Receive(e *pb.Envelope) error {
 	if e.GetFleet() != "test" {
-		return &fleet.OtherFleetError{Fleet: e.GetFleet()}
+		return &fleet.NameMismatchError{Fleet: e.GetFleet()}
 	}
 	return nil
 }
@@ -93,7 +93,7 @@
 		n.mu.Lock()
 		n.running--
 		n.mu.Unlock()
-		call.Settled()
+		call.OnRelease()
 	}()
 	if call.Class == "hang" {
 		<-ctx.Done()
@@ -197,7 +197,7 @@
 	sent.Wait()
 	pool.Close()
 	switch {
-	case time.Since(began) > owner.MaxTime+time.Second:
+	case time.Since(began) > owner.MaxMessageDuration+time.Second:
 		t.Fatalf("held for %v", time.Since(began))
 	case n.wrong != "":
 		t.Fatalf("replica %q was asked", n.wrong)
