--- a/node/forward/batch_test.go
+++ b/node/forward/batch_test.go
@@ -123,8 +123,8 @@
 	})
 }
 
-// Guards against retries that are charged to the retry budget when a batch's node does not
-// know the replicas.
+// Guards against lost shards and additional attempts when a batch's node does not have the
+// replicas in its view.
 func TestBatchToNodeWithoutReplicasIsSentDirectly(t *testing.T) {
 	withHarness(t, shards(6, "b"), func(r *harness) {
 		n := &fakeBatchSender{}
