--- a/cmd/carobmillctl/sheetpublish.go
+++ b/cmd/carobmillctl/sheetpublish.go
@@ -170,14 +170,14 @@
 }
 
 func succeeded(o publish.Outcome) bool {
-	return o == publish.Won || o == publish.Unchanged || o == publish.Superseded
+	return o == publish.Published || o == publish.Unchanged || o == publish.Superseded
 }
 
 func publishCode(o publish.Outcome) int {
 	switch o {
-	case publish.Lost, publish.Refused:
+	case publish.Conflict, publish.Refused:
 		return exitRefused
-	case publish.TooLarge, publish.Faulty:
+	case publish.TooLarge, publish.Invalid:
 		return exitUsage
 	default:
 		return exitFailed
@@ -204,8 +204,8 @@
 	return report
 }
 
-func newInForceReport(f publish.InForce) *inForceReport {
-	report := &inForceReport{Everywhere: f.Done(), Nodes: f.Nodes, TookMs: f.Took.Milliseconds()}
+func newInForceReport(f publish.RolloutStatus) *inForceReport {
+	report := &inForceReport{Everywhere: f.Done(), Nodes: f.Nodes, TookMs: f.Elapsed.Milliseconds()}
 	for _, lag := range f.Lagging {
 		report.Lagging = append(report.Lagging, lagReport(lag))
 	}
--- a/node/command/command.go
+++ b/node/command/command.go
@@ -42,19 +42,19 @@
   carobmill version
 `
 
-// Adapters makes the adapter of a forwarding node; nil where the binary has none.
-type Adapters func(*pb.Settings) gateway.Adapter
+// AdapterFactory makes the adapter of a forwarding node; nil where the binary has none.
+type AdapterFactory func(*pb.Settings) gateway.Adapter
 
 // Main runs the command line of this process until it is told to end, and returns the
 // exit code.
-func Main(adapters Adapters) int {
+func Main(adapters AdapterFactory) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	return Run(ctx, os.Args[1:], os.Stdout, os.Stderr, adapters)
 }
 
 // Run runs a command line until ctx ends and returns its exit code.
-func Run(ctx context.Context, args []string, stdout, stderr io.Writer, adapters Adapters) int {
+func Run(ctx context.Context, args []string, stdout, stderr io.Writer, adapters AdapterFactory) int {
 	if len(args) == 0 {
 		_, _ = io.WriteString(stderr, usage)
 		return ExitUsage
@@ -73,7 +73,7 @@
 	}
 }
 
-func runNode(ctx context.Context, args []string, stdout, stderr io.Writer, adapters Adapters) int {
+func runNode(ctx context.Context, args []string, stdout, stderr io.Writer, adapters AdapterFactory) int {
 	flags := flag.NewFlagSet("run", flag.ContinueOnError)
 	flags.SetOutput(stderr)
 	file := flags.String("settings", "", "the node's settings, a YAML `FILE`")
@@ -121,7 +121,7 @@
 }
 
 // newNode builds the kind of node that the settings ask for.
-func newNode(s *pb.Settings, log logrus.FieldLogger, adapters Adapters) (runner, error) {
+func newNode(s *pb.Settings, log logrus.FieldLogger, adapters AdapterFactory) (runner, error) {
 	if s.GetForwarding() == nil {
 		return node.New(s, log, nil)
 	}
--- a/node/execute/execute.go
+++ b/node/execute/execute.go
@@ -21,13 +21,13 @@
 	// Joined counts duplicates that met the first submission at this node.
 	Joined uint64
 	// Repeated counts duplicates that found another node's claim.
-	Repeated     uint64
-	Unknown      uint64
-	ClaimReads   uint64
-	ClaimWrites  uint64
-	SettleWrites uint64
-	// Unsettled counts claims that were left PENDING.
-	Unsettled uint64
+	Repeated         uint64
+	Unknown          uint64
+	ClaimReads       uint64
+	ClaimWrites      uint64
+	CompletionWrites uint64
+	// UnresolvedClaims counts claims that were left PENDING.
+	UnresolvedClaims uint64
 }
 
 // Executor runs non-idempotent requests. Safe for concurrent use.
@@ -245,13 +245,13 @@
 // Stats returns the counts so far.
 func (x *Executor) Stats() Stats {
 	return Stats{
-		Started:      x.stats.started.Load(),
-		Joined:       x.stats.joined.Load(),
-		Repeated:     x.stats.repeated.Load(),
-		Unknown:      x.stats.unknown.Load(),
-		ClaimReads:   x.stats.claimReads.Load(),
-		ClaimWrites:  x.stats.claimWrites.Load(),
-		SettleWrites: x.stats.settleWrites.Load(),
-		Unsettled:    x.stats.unsaved.Load(),
+		Started:          x.stats.started.Load(),
+		Joined:           x.stats.joined.Load(),
+		Repeated:         x.stats.repeated.Load(),
+		Unknown:          x.stats.unknown.Load(),
+		ClaimReads:       x.stats.claimReads.Load(),
+		ClaimWrites:      x.stats.claimWrites.Load(),
+		CompletionWrites: x.stats.settleWrites.Load(),
+		UnresolvedClaims: x.stats.unsaved.Load(),
 	}
 }
--- a/node/execute/execute_test.go
+++ b/node/execute/execute_test.go
@@ -27,27 +27,27 @@
 var (
 	background = context.Background()
 	// refusals make every send that one request may have fail before the write.
-	refusals = slices.Repeat([]simulation.Fate{simulation.ResetBefore}, dispatch.DefaultMaxSends)
+	refusals = slices.Repeat([]simulation.SendBehaviour{simulation.ResetBeforeWrite}, dispatch.DefaultMaxSends)
 )
 
 // The caller sees "ran", "not run" or "unknown" for one entry fee. The
 // connection to the backend server breaks before, during or after the write, or
 // the owner's node dies. Only a break before the write lets another replica be
 // tried: after any written byte the fee may have been taken.
-func TestBrokenConnectionsNeverDoubleARequest(t *testing.T) {
+func TestBrokenConnectionNeverRunsRequestTwice(t *testing.T) {
 	tests := map[string]struct {
-		fates    []simulation.Fate
+		fates    []simulation.SendBehaviour
 		evidence pb.Evidence
 		runs     int
 		sends    int
 	}{
-		"before the write":                  {[]simulation.Fate{simulation.ResetBefore}, ran, 1, 2},
-		"before the write, at each replica": {[]simulation.Fate{simulation.ResetBefore, simulation.ResetBefore}, ran, 1, 3},
+		"before the write":                  {[]simulation.SendBehaviour{simulation.ResetBeforeWrite}, ran, 1, 2},
+		"before the write, at each replica": {[]simulation.SendBehaviour{simulation.ResetBeforeWrite, simulation.ResetBeforeWrite}, ran, 1, 3},
 		"before the write, again and again": {refusals, notRun, 0, len(refusals)},
-		"during the write":                  {[]simulation.Fate{simulation.ResetDuring}, unknown, 0, 1},
-		"reply lost":                        {[]simulation.Fate{simulation.ReplyLost}, unknown, 1, 1},
-		"owner lost":                        {[]simulation.Fate{simulation.OwnerLost}, unknown, 1, 1},
-		"before, then reply lost":           {[]simulation.Fate{simulation.ResetBefore, simulation.ReplyLost}, unknown, 1, 2},
+		"during the write":                  {[]simulation.SendBehaviour{simulation.ResetDuringWrite}, unknown, 0, 1},
+		"reply lost":                        {[]simulation.SendBehaviour{simulation.ReplyLost}, unknown, 1, 1},
+		"owner lost":                        {[]simulation.SendBehaviour{simulation.OwnerLost}, unknown, 1, 1},
+		"before, then reply lost":           {[]simulation.SendBehaviour{simulation.ResetBeforeWrite, simulation.ReplyLost}, unknown, 1, 2},
 	}
 	for name, tt := range tests {
 		for _, key := range []string{"", "key"} {
@@ -57,7 +57,7 @@
 					o := r.a.Execute(background, fee(key))
 					r.c.Assert(o.Evidence, qt.Equals, tt.evidence)
 					r.c.Assert(o.Sent, qt.Equals, tt.evidence != notRun)
-					r.c.Assert(r.backend.Ran("fee"), qt.Equals, tt.runs)
+					r.c.Assert(r.backend.Runs("fee"), qt.Equals, tt.runs)
 					r.c.Assert(r.backend.Sends(), qt.Equals, tt.sends)
 					r.close()
 				})
@@ -69,14 +69,14 @@
 // The caller gives up waiting for "enrolled" and repeats itself at another
 // node. The first outcome is told again, whether it ran, may have run, or did
 // not run and can go now.
-func TestRetryAtAnotherNodeGetsTheFirstOutcome(t *testing.T) {
+func TestRetryAtAnotherNodeReturnsFirstOutcome(t *testing.T) {
 	tests := map[string]struct {
-		fates  []simulation.Fate
+		fates  []simulation.SendBehaviour
 		second pb.Evidence
 		runs   int
 	}{
 		"ran":     {nil, ran, 1},
-		"unknown": {[]simulation.Fate{simulation.ReplyLost}, unknown, 1},
+		"unknown": {[]simulation.SendBehaviour{simulation.ReplyLost}, unknown, 1},
 		"not run": {refusals, ran, 1},
 	}
 	for name, tt := range tests {
@@ -88,13 +88,13 @@
 				second := r.b.Execute(background, fee("key"))
 				r.c.Assert(second.Evidence, qt.Equals, tt.second)
 				r.c.Assert(second.Repeated, qt.Equals, first.Evidence != notRun)
-				r.c.Assert(r.backend.Ran("fee"), qt.Equals, tt.runs)
+				r.c.Assert(r.backend.Runs("fee"), qt.Equals, tt.runs)
 				other := fee("key")
 				other.Body = []byte("penalty")
 				o := r.b.Execute(background, other)
 				r.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_KEY_REUSED)
 				r.c.Assert(o.Evidence, qt.Equals, notRun)
-				r.c.Assert(r.backend.Ran("penalty"), qt.Equals, 0)
+				r.c.Assert(r.backend.Runs("penalty"), qt.Equals, 0)
 				r.close()
 			})
 		})
@@ -132,7 +132,7 @@
 			pb.Reason_REASON_UNSPECIFIED: 4,
 			pb.Reason_REASON_KEY_PENDING: 4,
 		})
-		r.c.Assert(r.backend.Ran("fee"), qt.Equals, 1)
+		r.c.Assert(r.backend.Runs("fee"), qt.Equals, 1)
 		r.close()
 	})
 }
@@ -140,15 +140,15 @@
 // The platform's answer to the claim is lost, before or after the write took
 // effect. The node reads the claim back, finds whose it is and goes on; the
 // caller sees "ran" and nothing of it.
-func TestLostClaimAnswerIsSettledByReading(t *testing.T) {
+func TestLostClaimReplyIsResolvedByReading(t *testing.T) {
 	for name, applied := range map[string]bool{"applied": true, "dropped": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newRig(t)
-				r.platform.Script(once("claim", platform.ErrAmbiguous, applied))
+				r.platform.SetFaults(once("claim", platform.ErrAmbiguous, applied))
 				o := r.a.Execute(background, fee("key"))
 				r.c.Assert(o.Evidence, qt.Equals, ran)
-				r.c.Assert(r.backend.Ran("fee"), qt.Equals, 1)
+				r.c.Assert(r.backend.Runs("fee"), qt.Equals, 1)
 				r.close()
 			})
 		})
@@ -158,10 +158,10 @@
 // The platform is down when a keyed fee arrives. It is answered at once, not
 // sent, with a time to come back, and as "unknown": an earlier submission with
 // the key may have run. A fee without a key needs no platform and runs.
-func TestPlatformDownBeforeTheClaim(t *testing.T) {
+func TestUnavailablePlatformRefusesKeyedRequestsOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
-		r.platform.Script(always(platform.ErrUnavailable))
+		r.platform.SetFaults(always(platform.ErrUnavailable))
 		began := time.Now()
 		o := r.a.Execute(background, fee("key"))
 		r.c.Assert(time.Since(began), qt.Equals, time.Duration(0))
@@ -178,10 +178,10 @@
 // The platform hangs instead of failing. The first keyed requests wait for the
 // claim's timeout; then the node stops waiting and refuses at once, letting one
 // request a second try.
-func TestSilentPlatformDoesNotHoldEveryRequest(t *testing.T) {
+func TestUnresponsivePlatformDelaysOnlyFirstRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
-		r.platform.Script(func(ctx context.Context, _ string) (bool, error) {
+		r.platform.SetFaults(func(ctx context.Context, _ string) (bool, error) {
 			<-ctx.Done()
 			return false, platform.ErrAmbiguous
 		})
@@ -192,7 +192,7 @@
 		o := r.a.Execute(background, fee("another"))
 		r.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_PLATFORM)
 		r.c.Assert(time.Since(began), qt.Equals, time.Duration(0))
-		r.platform.Script(nil)
+		r.platform.SetFaults(nil)
 		time.Sleep(time.Minute)
 		r.c.Assert(r.a.Execute(background, fee("k")).Evidence, qt.Equals, ran)
 		r.close()
@@ -202,19 +202,19 @@
 // The platform goes down after the claim. The caller has "ran" at once. Its
 // retry at another node is "unknown, pending" as long as the outage lasts, and
 // gets the first outcome once the claim could be settled.
-func TestPlatformDownBeforeTheSettle(t *testing.T) {
+func TestClaimIsCompletedAfterPlatformOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
-		r.platform.Script(noSettles)
+		r.platform.SetFaults(noSettles)
 		r.c.Assert(r.a.Execute(background, fee("key")).Evidence, qt.Equals, ran)
 		o := r.b.Execute(background, fee("key"))
 		r.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_KEY_PENDING)
-		r.platform.Script(nil)
+		r.platform.SetFaults(nil)
 		time.Sleep(time.Minute)
 		o = r.b.Execute(background, fee("key"))
 		r.c.Assert(o.Evidence, qt.Equals, ran)
 		r.c.Assert(string(o.Result), qt.Equals, "receipt")
-		r.c.Assert(r.backend.Ran("fee"), qt.Equals, 1)
+		r.c.Assert(r.backend.Runs("fee"), qt.Equals, 1)
 		r.close()
 	})
 }
@@ -222,10 +222,10 @@
 // A fee is refused at one node, and the answer to settling its claim as "not run"
 // is lost. The caller repeats it at another node, where it runs, and then at the
 // first one again, which still has the old refusal in memory and must not tell it.
-func TestRefusalInMemoryIsNotToldOnceTheKeyIsFree(t *testing.T) {
+func TestCachedRefusalIsNotReturnedAfterKeyRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t, refusals...)
-		r.platform.Script(once("settle", platform.ErrAmbiguous, true))
+		r.platform.SetFaults(once("settle", platform.ErrAmbiguous, true))
 		r.c.Assert(r.a.Execute(background, fee("key")).Evidence, qt.Equals, notRun)
 		synctest.Wait()
 		r.c.Assert(r.b.Execute(background, fee("key")).Evidence, qt.Equals, ran)
@@ -234,7 +234,7 @@
 		r.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_KEY_PENDING)
 		time.Sleep(o.RetryAfter)
 		r.c.Assert(r.a.Execute(background, fee("key")).Evidence, qt.Equals, ran)
-		r.c.Assert(r.backend.Ran("fee"), qt.Equals, 1)
+		r.c.Assert(r.backend.Runs("fee"), qt.Equals, 1)
 		r.close()
 	})
 }
@@ -242,18 +242,18 @@
 // The backend server takes longer than the caller waits. The caller is told
 // "unknown" at its deadline; the reply that comes later settles the claim, so
 // that a retry learns that the fee was taken.
-func TestReplyAfterTheDeadlineSettlesTheClaim(t *testing.T) {
+func TestReplyAfterDeadlineCompletesClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, simulation.Slow)
+		r := newRig(t, simulation.SlowRun)
 		began := time.Now()
 		o := r.a.Execute(background, fee("key"))
 		r.c.Assert(time.Since(began), qt.Equals, 5*time.Second)
 		r.c.Assert(o.Evidence, qt.Equals, unknown)
 		r.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_DEADLINE)
 		r.c.Assert(r.b.Execute(background, fee("key")).Reason, qt.Equals, pb.Reason_REASON_KEY_PENDING)
-		time.Sleep(simulation.SlowTime)
+		time.Sleep(simulation.SlowRunDuration)
 		r.c.Assert(r.b.Execute(background, fee("key")).Evidence, qt.Equals, ran)
-		r.c.Assert(r.backend.Ran("fee"), qt.Equals, 1)
+		r.c.Assert(r.backend.Runs("fee"), qt.Equals, 1)
 		r.close()
 	})
 }
@@ -262,7 +262,7 @@
 // deadline. On waking it sends nothing and settles the claim as not run, so the
 // caller's next try goes through; until then the claim keeps others out,
 // however long the pause, for a paused holder might still send.
-func TestPausedHolderDoesNotSend(t *testing.T) {
+func TestPausedClaimHolderDoesNotSendAfterDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
 		const pause = time.Hour
@@ -276,14 +276,14 @@
 		time.Sleep(pause)
 		r.c.Assert(r.backend.Sends(), qt.Equals, 0)
 		r.c.Assert(r.b.Execute(background, fee("key")).Evidence, qt.Equals, ran)
-		r.c.Assert(r.backend.Ran("fee"), qt.Equals, 1)
+		r.c.Assert(r.backend.Runs("fee"), qt.Equals, 1)
 		r.close()
 	})
 }
 
 // A node shuts down with a fee in flight. The fee is answered and its claim
 // settled before Close returns; what comes later is refused as unready.
-func TestShutdownCutsNothing(t *testing.T) {
+func TestCloseWaitsForRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
 		r.backend.Hold = make(chan struct{})
@@ -301,22 +301,22 @@
 		r.c.Assert((<-answer).Evidence, qt.Equals, ran)
 		r.c.Assert(<-closed, qt.IsNil)
 		r.c.Assert(r.b.Execute(background, fee("key")).Repeated, qt.IsTrue)
-		r.c.Assert(r.backend.Ran("fee"), qt.Equals, 1)
+		r.c.Assert(r.backend.Runs("fee"), qt.Equals, 1)
 		r.close()
 	})
 }
 
 // A shutdown during an outage of the platform must end: the claim stays
 // PENDING, which is honest, and operators are told.
-func TestShutdownDoesNotWaitForThePlatform(t *testing.T) {
+func TestCloseDoesNotWaitForUnavailablePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
-		r.platform.Script(noSettles)
+		r.platform.SetFaults(noSettles)
 		r.c.Assert(r.a.Execute(background, fee("key")).Evidence, qt.Equals, ran)
 		began := time.Now()
 		r.c.Assert(r.a.Close(background), qt.IsNil)
 		r.c.Assert(time.Since(began) < 2*time.Second, qt.IsTrue)
-		r.c.Assert(r.a.Stats().Unsettled, qt.Equals, uint64(1))
+		r.c.Assert(r.a.Stats().UnresolvedClaims, qt.Equals, uint64(1))
 		r.c.Assert(r.b.Execute(background, fee("key")).Reason, qt.Equals, pb.Reason_REASON_KEY_PENDING)
 	})
 }
@@ -324,7 +324,7 @@
 // Claims would fill the platform's service for good. A settled one is attached
 // to a lease that many share; a pending one is not, because its lapse would let
 // the key run a second time.
-func TestOnlySettledClaimsLapse(t *testing.T) {
+func TestOnlyCompletedClaimsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
 		r.backend.Hold = make(chan struct{})
@@ -355,7 +355,7 @@
 		synctest.Wait()
 		s := r.a.Stats()
 		r.c.Assert(s.ClaimWrites, qt.Equals, uint64(requests))
-		r.c.Assert(s.SettleWrites, qt.Equals, uint64(requests))
+		r.c.Assert(s.CompletionWrites, qt.Equals, uint64(requests))
 		r.c.Assert(s.ClaimReads, qt.Equals, uint64(0))
 		r.c.Assert(r.platform.Grants(), qt.Equals, 1)
 		bytes := r.platform.Bytes()
@@ -374,7 +374,7 @@
 }
 
 // once fails the first call of an operation.
-func once(op string, err error, applied bool) simulation.Script {
+func once(op string, err error, applied bool) simulation.FaultFunc {
 	var done bool
 	return func(_ context.Context, called string) (bool, error) {
 		if done || called != op {
@@ -385,6 +385,6 @@
 	}
 }
 
-func always(err error) simulation.Script {
+func always(err error) simulation.FaultFunc {
 	return func(context.Context, string) (bool, error) { return false, err }
 }
--- a/node/execute/options.go
+++ b/node/execute/options.go
@@ -65,12 +65,12 @@
 	NewID func() string
 
 	// The numbers take their defaults when 0.
-	MaxOpen        int
-	MaxSends       int
-	MaxResultBytes int
-	Retention      time.Duration
-	SettleFor      time.Duration
-	ClaimTimeout   time.Duration
+	MaxOpen           int
+	MaxSends          int
+	MaxResultBytes    int
+	Retention         time.Duration
+	CompletionTimeout time.Duration
+	ClaimTimeout      time.Duration
 }
 
 func (o Options) withDefaults() Options {
--- a/node/execute/report.go
+++ b/node/execute/report.go
@@ -10,8 +10,8 @@
 		"execute_unknown":       s.Unknown,
 		"execute_claim_reads":   s.ClaimReads,
 		"execute_claim_writes":  s.ClaimWrites,
-		"execute_settle_writes": s.SettleWrites,
-		"execute_unsettled":     s.Unsettled,
+		"execute_settle_writes": s.CompletionWrites,
+		"execute_unsettled":     s.UnresolvedClaims,
 	} {
 		set(name, float64(value))
 	}
--- a/node/execute/rig_test.go
+++ b/node/execute/rig_test.go
@@ -21,7 +21,7 @@
 	a, b     *execute.Executor
 }
 
-func newRig(t *testing.T, fates ...simulation.Fate) *rig {
+func newRig(t *testing.T, fates ...simulation.SendBehaviour) *rig {
 	index, err := simulation.Index()
 	qt.Assert(t, err, qt.IsNil)
 	r := &rig{
@@ -37,7 +37,7 @@
 			Sender: r.backend,
 			Claims: r.platform,
 			Leases: r.platform,
-			Picker: simulation.FirstOf{},
+			Picker: simulation.FirstPicker{},
 		})
 	}
 	r.a, r.b = node(), node()
--- a/node/execute/run.go
+++ b/node/execute/run.go
@@ -138,7 +138,7 @@
 		Deadline:          r.deadline,
 		ClaimedAt:         time.Now().Unix(),
 		MaxSends:          x.opts.MaxSends,
-		CompletionTimeout: x.opts.SettleFor,
+		CompletionTimeout: x.opts.CompletionTimeout,
 		MaxResultBytes:    x.opts.MaxResultBytes,
 	})
 	d := &driver{x: x, run: r, machine: m, events: make(chan dispatch.Event, 1)}
--- a/node/execute/simulation/backend.go
+++ b/node/execute/simulation/backend.go
@@ -9,41 +9,41 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
-// Fate is what happens to one send.
-type Fate int
+// SendBehaviour is what happens to one send.
+type SendBehaviour int
 
 const (
 	// RunAndReply runs the request, and the reply comes.
-	RunAndReply Fate = iota
-	// ResetBefore breaks the connection before a byte is written.
-	ResetBefore
-	// ResetDuring breaks the connection while the request is written.
-	ResetDuring
+	RunAndReply SendBehaviour = iota
+	// ResetBeforeWrite breaks the connection before a byte is written.
+	ResetBeforeWrite
+	// ResetDuringWrite breaks the connection while the request is written.
+	ResetDuringWrite
 	// ReplyLost runs the request and breaks the connection before the reply.
 	ReplyLost
 	// OwnerLost has the owner's node die with the request, which runs.
 	OwnerLost
-	// Slow runs the request after the caller's deadline, and the reply comes.
-	Slow
+	// SlowRun runs the request after the caller's deadline, and the reply comes.
+	SlowRun
 )
 
 // Backend runs requests by the next fate and counts what ran, by body. It is safe
 // for concurrent use.
 type Backend struct {
 	mu    sync.Mutex
-	fates []Fate
+	fates []SendBehaviour
 	runs  map[string]int
 	sent  []string
 	// Hold, when set before the first request, keeps replies until it is closed.
 	Hold chan struct{}
 }
 
-// SlowTime is how long a Slow request runs.
-const SlowTime = 30 * time.Second
+// SlowRunDuration is how long a Slow request runs.
+const SlowRunDuration = 30 * time.Second
 
 // NewBackend returns a service whose sends meet the fates in order, and
 // RunAndReply after the last.
-func NewBackend(fates ...Fate) *Backend {
+func NewBackend(fates ...SendBehaviour) *Backend {
 	return &Backend{fates: fates, runs: make(map[string]int)}
 }
 
@@ -55,7 +55,7 @@
 	if len(b.fates) > 0 {
 		f, b.fates = b.fates[0], b.fates[1:]
 	}
-	if f != ResetBefore && f != ResetDuring {
+	if f != ResetBeforeWrite && f != ResetDuringWrite {
 		b.runs[string(req.GetBody())]++
 	}
 	hold := b.Hold
@@ -65,13 +65,13 @@
 	}
 	resp := &pb.ExecuteResponse{Attempt: req.GetAttempt(), Reason: pb.Reason_REASON_CONNECTION}
 	switch f {
-	case ResetBefore:
+	case ResetBeforeWrite:
 		resp.Evidence = pb.Evidence_EVIDENCE_NOT_RUN
 	case OwnerLost:
 		resp.Reason = pb.Reason_REASON_PEER
-	case Slow, RunAndReply:
-		if f == Slow {
-			time.Sleep(SlowTime)
+	case SlowRun, RunAndReply:
+		if f == SlowRun {
+			time.Sleep(SlowRunDuration)
 		}
 		resp.Evidence = pb.Evidence_EVIDENCE_RAN
 		resp.Reason = pb.Reason_REASON_UNSPECIFIED
@@ -80,8 +80,8 @@
 	return resp
 }
 
-// Ran is how often requests with a body ran.
-func (b *Backend) Ran(body string) int {
+// Runs is how often requests with a body ran.
+func (b *Backend) Runs(body string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.runs[body]
@@ -94,11 +94,11 @@
 	return len(b.sent)
 }
 
-// FirstOf picks the first replica that is left.
-type FirstOf struct{}
+// FirstPicker picks the first replica that is left.
+type FirstPicker struct{}
 
 // Pick returns a replica that is not excluded, or nil.
-func (FirstOf) Pick(shard *config.Shard, excluded func(*config.Replica) bool) *config.Replica {
+func (FirstPicker) Pick(shard *config.Shard, excluded func(*config.Replica) bool) *config.Replica {
 	for _, replica := range shard.Replicas {
 		if !excluded(replica) {
 			return replica
--- a/node/execute/simulation/platform.go
+++ b/node/execute/simulation/platform.go
@@ -8,9 +8,9 @@
 	"github.com/carobmill/carobmill/node/platform"
 )
 
-// Script is asked at each call, with the operation: "get", "claim" or "settle". A
+// FaultFunc is asked at each call, with the operation: "get", "claim" or "settle". A
 // non-nil error is the call's, and true makes the write take effect all the same.
-type Script func(ctx context.Context, op string) (bool, error)
+type FaultFunc func(ctx context.Context, op string) (bool, error)
 
 // Platform is a key-value service in memory, safe for concurrent use. Its zero
 // value is of no use; NewPlatform makes one.
@@ -20,7 +20,7 @@
 	keys   map[string]platform.Entry
 	leased map[string]bool
 	grants int
-	before Script
+	before FaultFunc
 	// pause delays the answer to the next claim that took effect.
 	pause time.Duration
 }
@@ -37,8 +37,8 @@
 	p.pause = pause
 }
 
-// Script replaces the script; nil ends the faults.
-func (p *Platform) Script(before Script) {
+// SetFaults replaces the script; nil ends the faults.
+func (p *Platform) SetFaults(before FaultFunc) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.before = before
--- a/node/execute/simulation/storm.go
+++ b/node/execute/simulation/storm.go
@@ -11,44 +11,44 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
-// Dice is a source of faults shared by the goroutines of one storm.
-type Dice struct {
+// Random is a source of faults shared by the goroutines of one storm.
+type Random struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// NewDice returns the source of faults of a seed.
-func NewDice(seed uint64) *Dice {
-	return &Dice{rng: rand.New(rand.NewPCG(seed, 1))}
+// NewRandom returns the source of faults of a seed.
+func NewRandom(seed uint64) *Random {
+	return &Random{rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// Roll returns a number from 0 to n-1.
-func (d *Dice) Roll(n int) int {
+// IntN returns a number from 0 to n-1.
+func (d *Random) IntN(n int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.rng.IntN(n)
 }
 
-// UpTo returns a time below limit.
-func (d *Dice) UpTo(limit time.Duration) time.Duration {
+// Duration returns a time below limit.
+func (d *Random) Duration(limit time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return time.Duration(d.rng.Int64N(int64(limit)))
 }
 
-// StormyPlatform answers late, loses answers, applies writes after the client
+// FaultyPlatform answers late, loses answers, applies writes after the client
 // has given up, refuses, and reads from the past.
-type StormyPlatform struct {
+type FaultyPlatform struct {
 	*Platform
-	*Dice
-	// Calm reports that the storm is over.
-	Calm func() bool
+	*Random
+	// FaultsEnded reports that the storm is over.
+	FaultsEnded func() bool
 }
 
 // CompareAndSwap implements execute.Claims.
-func (p *StormyPlatform) CompareAndSwap(ctx context.Context, key string, revision uint64, value []byte) (uint64, error) {
-	fate := p.Roll(8)
-	if p.Calm() {
+func (p *FaultyPlatform) CompareAndSwap(ctx context.Context, key string, revision uint64, value []byte) (uint64, error) {
+	fate := p.IntN(8)
+	if p.FaultsEnded() {
 		fate = 0
 	}
 	switch fate {
@@ -60,7 +60,7 @@
 		_, _ = p.Platform.CompareAndSwap(ctx, key, revision, value)
 		return 0, platform.ErrAmbiguous
 	case 4:
-		delay := p.UpTo(20 * time.Second)
+		delay := p.Duration(20 * time.Second)
 		go func() {
 			time.Sleep(delay)
 			_, _ = p.Platform.CompareAndSwap(context.Background(), key, revision, value)
@@ -68,18 +68,18 @@
 		<-ctx.Done()
 		return 0, platform.ErrAmbiguous
 	case 5:
-		time.Sleep(p.UpTo(time.Second))
+		time.Sleep(p.Duration(time.Second))
 	}
 	return p.Platform.CompareAndSwap(ctx, key, revision, value)
 }
 
 // Get implements execute.Claims.
-func (p *StormyPlatform) Get(ctx context.Context, key string) (platform.Entry, error) {
+func (p *FaultyPlatform) Get(ctx context.Context, key string) (platform.Entry, error) {
 	now, err := p.Platform.Get(ctx, key)
-	if p.Calm() {
+	if p.FaultsEnded() {
 		return now, err
 	}
-	switch p.Roll(4) {
+	switch p.IntN(4) {
 	case 1:
 		return platform.Entry{}, platform.ErrUnavailable
 	case 2:
@@ -88,28 +88,28 @@
 	return now, err
 }
 
-// StormyBackend runs requests at once, late, after the sender has given up, or
+// FaultyBackend runs requests at once, late, after the sender has given up, or
 // not at all, and says only what a sender can know.
-type StormyBackend struct {
+type FaultyBackend struct {
 	*Backend
-	*Dice
-	// Refusals in a hundred sends.
-	Refusals int
+	*Random
+	// RefusalPercent in a hundred sends.
+	RefusalPercent int
 }
 
 // Execute implements execute.Sender.
-func (b *StormyBackend) Execute(ctx context.Context, _ *config.Replica, req *pb.ExecuteRequest) *pb.ExecuteResponse {
+func (b *FaultyBackend) Execute(ctx context.Context, _ *config.Replica, req *pb.ExecuteRequest) *pb.ExecuteResponse {
 	resp := &pb.ExecuteResponse{Attempt: req.GetAttempt(), Reason: pb.Reason_REASON_CONNECTION}
-	if b.Roll(100) < b.Refusals {
-		time.Sleep(b.UpTo(time.Second))
+	if b.IntN(100) < b.RefusalPercent {
+		time.Sleep(b.Duration(time.Second))
 		resp.Evidence = pb.Evidence_EVIDENCE_NOT_RUN
 		return resp
 	}
-	switch b.Roll(6) {
+	switch b.IntN(6) {
 	case 0:
 		return resp
 	case 1:
-		late := b.UpTo(20 * time.Second)
+		late := b.Duration(20 * time.Second)
 		go func() {
 			time.Sleep(late)
 			b.run(req)
@@ -120,13 +120,13 @@
 		b.run(req)
 		return resp
 	}
-	time.Sleep(b.UpTo(2 * time.Second))
+	time.Sleep(b.Duration(2 * time.Second))
 	b.run(req)
 	resp.Evidence, resp.Reason = pb.Evidence_EVIDENCE_RAN, pb.Reason_REASON_UNSPECIFIED
 	return resp
 }
 
-func (b *StormyBackend) run(req *pb.ExecuteRequest) {
+func (b *FaultyBackend) run(req *pb.ExecuteRequest) {
 	b.Backend.mu.Lock()
 	defer b.Backend.mu.Unlock()
 	b.runs[string(req.GetBody())]++
--- a/node/execute/storm_test.go
+++ b/node/execute/storm_test.go
@@ -19,7 +19,7 @@
 // overlap, while the platform and the backend servers fail in every way at once
 // and one node shuts down, though callers still reach it, and is replaced. Counted at the backend service: no fee
 // runs twice, and none that was told "not run" had run by then.
-func TestStormOfRetriesRunsEachFeeOnce(t *testing.T) {
+func TestRetriesUnderRandomFaultsRunEachFeeOnce(t *testing.T) {
 	const storms = 150
 	totals := make(map[pb.Evidence]int)
 	for seed := range uint64(storms) {
@@ -33,14 +33,14 @@
 
 func storm(t *testing.T, seed uint64, totals map[pb.Evidence]int) {
 	r := newRig(t)
-	d := simulation.NewDice(seed)
+	d := simulation.NewRandom(seed)
 	began := time.Now()
 	const length = 30 * time.Second
-	claims := &simulation.StormyPlatform{Platform: r.platform, Dice: d, Calm: func() bool { return time.Since(began) > length }}
-	sender := &simulation.StormyBackend{Backend: r.backend, Dice: d, Refusals: []int{20, 97, 100}[seed%3]}
+	claims := &simulation.FaultyPlatform{Platform: r.platform, Random: d, FaultsEnded: func() bool { return time.Since(began) > length }}
+	sender := &simulation.FaultyBackend{Backend: r.backend, Random: d, RefusalPercent: []int{20, 97, 100}[seed%3]}
 	node := func() *execute.Executor {
 		return execute.New(execute.Options{
-			Fleet: "test", Index: r.index, Sender: sender, Claims: claims, Picker: simulation.FirstOf{},
+			Fleet: "test", Index: r.index, Sender: sender, Claims: claims, Picker: simulation.FirstPicker{},
 		})
 	}
 	nodes := []*execute.Executor{node(), node()}
@@ -48,17 +48,17 @@
 	var callers sync.WaitGroup
 	for i := range 24 {
 		callers.Go(func() {
-			time.Sleep(d.UpTo(length))
+			time.Sleep(d.Duration(length))
 			req := fee(fmt.Sprint("key", i%4))
 			req.Body = fmt.Append(nil, "fee", i%4)
-			req.Deadline = d.UpTo(5*time.Second) + time.Millisecond
-			ctx, cancel := context.WithTimeout(background, d.UpTo(20*time.Second))
+			req.Deadline = d.Duration(5*time.Second) + time.Millisecond
+			ctx, cancel := context.WithTimeout(background, d.Duration(20*time.Second))
 			defer cancel()
 			mu.Lock()
-			x := nodes[d.Roll(len(nodes))]
+			x := nodes[d.IntN(len(nodes))]
 			mu.Unlock()
 			o := x.Execute(ctx, req)
-			runs := r.backend.Ran(string(req.Body))
+			runs := r.backend.Runs(string(req.Body))
 			mu.Lock()
 			defer mu.Unlock()
 			totals[o.Evidence]++
@@ -66,7 +66,7 @@
 			r.c.Check(o.Evidence != ran || runs == 1, qt.IsTrue, qt.Commentf("seed %d: false ran", seed))
 		})
 	}
-	time.Sleep(d.UpTo(length))
+	time.Sleep(d.Duration(length))
 	mu.Lock()
 	leaving := nodes[0]
 	nodes = append(nodes, node())
@@ -75,7 +75,7 @@
 	callers.Wait()
 	time.Sleep(time.Hour)
 	for i := range 4 {
-		runs := r.backend.Ran(fmt.Sprint("fee", i))
+		runs := r.backend.Runs(fmt.Sprint("fee", i))
 		r.c.Check(runs <= 1, qt.IsTrue, qt.Commentf("seed %d: fee %d ran %d times", seed, i, runs))
 	}
 	for _, x := range nodes {
--- a/node/publish/faulty/kv.go
+++ b/node/publish/faulty/kv.go
@@ -20,18 +20,18 @@
 const (
 	// None lets the call through.
 	None Fault = iota
-	// LoseAfter has a write take effect and loses its answer.
-	LoseAfter
-	// LoseBefore has a write go without effect and loses its answer.
-	LoseBefore
-	// Delay loses the answer; the write takes effect before the next call.
-	Delay
+	// LoseReplyAfterWrite has a write take effect and loses its answer.
+	LoseReplyAfterWrite
+	// LoseReplyBeforeWrite has a write go without effect and loses its answer.
+	LoseReplyBeforeWrite
+	// DelayWrite loses the answer; the write takes effect before the next call.
+	DelayWrite
 	// Unavailable refuses the call, which has no effect.
 	Unavailable
-	// Stale has a read answer with the oldest entry.
-	Stale
-	// Rival has another operator's version accepted just before the call.
-	Rival
+	// StaleRead has a read answer with the oldest entry.
+	StaleRead
+	// ConcurrentPublish has another operator's version accepted just before the call.
+	ConcurrentPublish
 )
 
 // KV holds one key and plays one fault a call. It is for one goroutine.
@@ -39,17 +39,17 @@
 	// Faults are those of the next calls, in order. When they are used up the KV
 	// calls End, if there is one, and is down from then on.
 	Faults []Fault
-	End    context.CancelFunc
+	Cancel context.CancelFunc
 	// History holds every entry that stood, the oldest first.
 	History []platform.Entry
-	// Swaps counts the writes that were tried.
-	Swaps int
+	// WriteAttempts counts the writes that were tried.
+	WriteAttempts int
 
 	pending func()
 }
 
-// Land has a delayed write take effect, if one is on the way.
-func (f *KV) Land() {
+// ApplyPending has a delayed write take effect, if one is on the way.
+func (f *KV) ApplyPending() {
 	if f.pending != nil {
 		f.pending()
 		f.pending = nil
@@ -57,18 +57,18 @@
 }
 
 func (f *KV) next() Fault {
-	f.Land()
+	f.ApplyPending()
 	if len(f.Faults) == 0 {
-		if f.End == nil {
+		if f.Cancel == nil {
 			return None
 		}
-		f.End()
+		f.Cancel()
 		return Unavailable
 	}
 	now := f.Faults[0]
 	f.Faults = f.Faults[1:]
-	if now == Rival {
-		f.WriteRival()
+	if now == ConcurrentPublish {
+		f.WriteConcurrent()
 	}
 	return now
 }
@@ -87,8 +87,8 @@
 	return revision
 }
 
-// WriteRival has another operator's version accepted, which names the ids before it.
-func (f *KV) WriteRival() {
+// WriteConcurrent has another operator's version accepted, which names the ids before it.
+func (f *KV) WriteConcurrent() {
 	was := &pb.Configuration{}
 	_ = proto.Unmarshal(f.current().Value, was)
 	cfg := &pb.Configuration{
@@ -106,7 +106,7 @@
 	switch f.next() {
 	case Unavailable:
 		return platform.Entry{}, platform.ErrUnavailable
-	case Stale:
+	case StaleRead:
 		if len(f.History) > 0 {
 			return f.History[0], nil
 		}
@@ -120,14 +120,14 @@
 // CompareAndSwap writes the key when it stands at a revision and returns the new
 // one, or platform.ErrConflict.
 func (f *KV) CompareAndSwap(_ context.Context, _ string, revision uint64, value []byte) (uint64, error) {
-	f.Swaps++
+	f.WriteAttempts++
 	now := f.next()
 	switch now {
 	case Unavailable:
 		return 0, platform.ErrUnavailable
-	case LoseBefore:
+	case LoseReplyBeforeWrite:
 		return 0, platform.ErrAmbiguous
-	case Delay:
+	case DelayWrite:
 		f.pending = func() {
 			if f.current().Revision == revision {
 				f.Put(value)
@@ -139,14 +139,14 @@
 		return 0, platform.ErrConflict
 	}
 	written := f.Put(value)
-	if now == LoseAfter {
+	if now == LoseReplyAfterWrite {
 		return 0, platform.ErrAmbiguous
 	}
 	return written, nil
 }
 
-// Wrote counts the accepted versions with a publish id.
-func (f *KV) Wrote(id string) int {
+// WriteCount counts the accepted versions with a publish id.
+func (f *KV) WriteCount(id string) int {
 	count := 0
 	for _, entry := range f.History {
 		cfg := &pb.Configuration{}
--- a/node/publish/inforce.go
+++ b/node/publish/inforce.go
@@ -16,26 +16,26 @@
 	Status(ctx context.Context) ([]*pb.NodeStatus, error)
 }
 
-// Lag is a node that does not have a version in force, and why.
-type Lag struct {
+// LaggingNode is a node that does not have a version in force, and why.
+type LaggingNode struct {
 	Node   string
 	Reason string
 }
 
-// InForce says how far a version has spread.
-type InForce struct {
+// RolloutStatus says how far a version has spread.
+type RolloutStatus struct {
 	Version uint64
 	// Nodes that are known, and those of them that lag, in order of their names.
 	Nodes   int
-	Lagging []Lag
-	// Took is the time until the last node had it, or until the time limit.
-	Took time.Duration
+	Lagging []LaggingNode
+	// Elapsed is the time until the last node had it, or until the time limit.
+	Elapsed time.Duration
 	// Err is set when no node could be asked.
 	Err error
 }
 
 // Done reports whether every node known has the version in force.
-func (f InForce) Done() bool {
+func (f RolloutStatus) Done() bool {
 	return f.Err == nil && f.Nodes > 0 && len(f.Lagging) == 0
 }
 
@@ -52,31 +52,31 @@
 // ends. The VM list names nodes that the fleet itself may not know, such as the
 // far side of a partition; it may be nil. The fleet is asked again after the
 // time every; 0 is 200 ms.
-func Await(ctx context.Context, fleet Fleet, vms platform.VMList, version uint64, every time.Duration) InForce {
+func Await(ctx context.Context, fleet Fleet, vms platform.VMList, version uint64, every time.Duration) RolloutStatus {
 	start := time.Now()
 	if every == 0 {
 		every = defaultPause
 	}
-	var last InForce
+	var last RolloutStatus
 	for {
 		now := ask(ctx, fleet, vms, version)
 		// A question cut short by the time limit tells less than the one before.
 		if ctx.Err() == nil || last.Version == 0 {
 			last = now
 		}
-		last.Took = time.Since(start)
+		last.Elapsed = time.Since(start)
 		if last.Done() {
 			return last
 		}
 		if !work.Sleep(ctx, every) {
-			last.Took = time.Since(start)
+			last.Elapsed = time.Since(start)
 			return last
 		}
 	}
 }
 
-func ask(ctx context.Context, fleet Fleet, vms platform.VMList, version uint64) InForce {
-	f := InForce{Version: version}
+func ask(ctx context.Context, fleet Fleet, vms platform.VMList, version uint64) RolloutStatus {
+	f := RolloutStatus{Version: version}
 	nodes, err := fleet.Status(ctx)
 	if err != nil {
 		f.Err = err
@@ -93,7 +93,7 @@
 	f.Nodes = len(reasons)
 	for node, why := range reasons {
 		if why != "" {
-			f.Lagging = append(f.Lagging, Lag{Node: node, Reason: why})
+			f.Lagging = append(f.Lagging, LaggingNode{Node: node, Reason: why})
 		}
 	}
 	sort.Slice(f.Lagging, func(i, j int) bool { return f.Lagging[i].Node < f.Lagging[j].Node })
--- a/node/publish/inforce_test.go
+++ b/node/publish/inforce_test.go
@@ -26,7 +26,7 @@
 	return &pb.NodeStatus{Node: name, ConfigVersion: version, PlatformReachable: true}
 }
 
-func TestAwaitEndsWhenTheLastNodeHasTheVersion(t *testing.T) {
+func TestAwaitReturnsWhenLastNodeHasVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		start := time.Now()
@@ -37,14 +37,14 @@
 			return []*pb.NodeStatus{node("a", 7), node("b", 8)}, nil
 		}), nil, 7, 100*time.Millisecond)
 		c.Assert(f.Done(), qt.IsTrue)
-		c.Assert(f.Took, qt.Equals, 900*time.Millisecond)
+		c.Assert(f.Elapsed, qt.Equals, 900*time.Millisecond)
 	})
 }
 
 // One node is cut off, one has the platform down, one counts as dead, and one
 // stands only on the VM list. After the time limit the operator sees each with
 // the reason; the node that leaves is not waited for.
-func TestLaggingNodesAreListedWithTheReason(t *testing.T) {
+func TestAwaitListsLaggingNodesWithReason(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
@@ -63,9 +63,9 @@
 		vms := vmList{{Name: "a"}, {Name: "far"}, {Name: "stopping", Leaving: true}}
 		f := publish.Await(ctx, fleet, vms, 7, time.Second)
 		c.Assert(f.Done(), qt.IsFalse)
-		c.Assert(f.Took, qt.Equals, 3*time.Second)
+		c.Assert(f.Elapsed, qt.Equals, 3*time.Second)
 		c.Assert(f.Nodes, qt.Equals, 5)
-		c.Assert(f.Lagging, qt.DeepEquals, []publish.Lag{
+		c.Assert(f.Lagging, qt.DeepEquals, []publish.LaggingNode{
 			{Node: "cut", Reason: "cannot be asked: timeout"},
 			{Node: "dead", Reason: "counts as dead, version last heard is 6"},
 			{Node: "far", Reason: "stands on the platform's VM list, but is unknown to the nodes asked"},
@@ -74,7 +74,7 @@
 	})
 }
 
-func TestNoNodeCanBeAsked(t *testing.T) {
+func TestAwaitReturnsErrorWhenNoNodeAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
--- a/node/publish/outcome.go
+++ b/node/publish/outcome.go
@@ -10,20 +10,20 @@
 
 // Outcomes of a publish.
 const (
-	// Won: the sheet is the accepted configuration.
-	Won Outcome = iota + 1
+	// Published: the sheet is the accepted configuration.
+	Published Outcome = iota + 1
 	// Unchanged: the accepted configuration holds this sheet already.
 	Unchanged
 	// Superseded: the sheet was accepted, and another version has followed since.
 	Superseded
-	// Lost: another operator's version stands; nothing was written.
-	Lost
+	// Conflict: another operator's version stands; nothing was written.
+	Conflict
 	// Refused: the sheet may not replace the accepted one; nothing was written.
 	Refused
 	// TooLarge: the platform holds no value of this size; nothing was written.
 	TooLarge
-	// Faulty: the sheet does not compile; nothing was written.
-	Faulty
+	// Invalid: the sheet does not compile; nothing was written.
+	Invalid
 	// Unavailable: the platform did not answer in time; nothing was written.
 	Unavailable
 	// Unknown: a write went out and could not be settled in time.
@@ -31,13 +31,13 @@
 )
 
 var outcomeNames = map[Outcome]string{
-	Won:         "accepted",
+	Published:   "accepted",
 	Unchanged:   "unchanged",
 	Superseded:  "superseded",
-	Lost:        "lost the race",
+	Conflict:    "lost the race",
 	Refused:     "refused",
 	TooLarge:    "too large",
-	Faulty:      "faulty",
+	Invalid:     "faulty",
 	Unavailable: "platform unavailable",
 	Unknown:     "unknown",
 }
--- a/node/publish/publish.go
+++ b/node/publish/publish.go
@@ -132,7 +132,7 @@
 	accepted := base.cfg
 	p.diff = sheet.Compare(accepted.GetSheet(), s)
 	if p.Base != 0 && p.Base != accepted.GetVersion() {
-		return p.result(Lost, accepted, nil), false
+		return p.result(Conflict, accepted, nil), false
 	}
 	if err := p.refusal(s); err != nil {
 		return p.result(Refused, accepted, err), false
@@ -140,7 +140,7 @@
 	version := max(accepted.GetVersion(), p.HighestInForce) + 1
 	next, err := sheet.Compile(s, version, p.id, p.By)
 	if err != nil {
-		return p.result(Faulty, accepted, err), false
+		return p.result(Invalid, accepted, err), false
 	}
 	if accepted != nil && accepted.GetSheetDigest() == next.GetSheetDigest() && accepted.GetVersion() >= p.HighestInForce {
 		return p.result(Unchanged, accepted, nil), false
@@ -148,7 +148,7 @@
 	next.EarlierPublishIds = earlierIDs(accepted)
 	p.next = next
 	if p.value, err = proto.Marshal(next); err != nil {
-		return p.result(Faulty, accepted, errors.Wrap(err, "encode the configuration")), false
+		return p.result(Invalid, accepted, errors.Wrap(err, "encode the configuration")), false
 	}
 	if len(p.value) > platform.MaxValueBytes {
 		return p.result(TooLarge, accepted, nil), false
--- a/node/publish/publish_test.go
+++ b/node/publish/publish_test.go
@@ -39,9 +39,9 @@
 func run(kv *faulty.KV, s *pb.Sheet, change func(*publish.Options)) publish.Result {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	kv.End = nil
+	kv.Cancel = nil
 	if len(kv.Faults) > 0 {
-		kv.End = cancel
+		kv.Cancel = cancel
 	}
 	o := publish.Options{KV: kv, Key: "k", By: "ops", Pause: time.Nanosecond}
 	if change != nil {
@@ -50,11 +50,11 @@
 	return publish.Publish(ctx, o, s)
 }
 
-func TestFirstSheetAndTheNext(t *testing.T) {
+func TestPublishFirstAndSecondSheet(t *testing.T) {
 	c := qt.New(t)
 	kv := &faulty.KV{}
 	r := run(kv, faulty.Sheet(10), nil)
-	c.Assert(r.Outcome, qt.Equals, publish.Won)
+	c.Assert(r.Outcome, qt.Equals, publish.Published)
 	c.Assert(r.Accepted.GetVersion(), qt.Equals, uint64(1))
 	first := r.PublishID
 	c.Assert(run(kv, faulty.Sheet(10), nil).Outcome, qt.Equals, publish.Unchanged)
@@ -67,23 +67,23 @@
 // The answer to the write is lost: after it took effect, before it did, or it
 // takes effect later still. The operator must learn what became of the publish,
 // without a second version and without writing over a rival.
-func TestLostAnswerIsSettled(t *testing.T) {
+func TestLostWriteReplyIsResolved(t *testing.T) {
 	cases := []struct {
 		name   string
 		faults []faulty.Fault
 		want   publish.Outcome
 	}{
-		{"after the effect", []faulty.Fault{faulty.None, faulty.LoseAfter, faulty.None, faulty.None, faulty.None}, publish.Won},
-		{"before the effect", []faulty.Fault{faulty.None, faulty.LoseBefore, faulty.None, faulty.None, faulty.None}, publish.Won},
-		{"effect comes later", []faulty.Fault{faulty.None, faulty.Delay, faulty.None, faulty.None, faulty.None}, publish.Won},
-		{"effect comes late, read stale", []faulty.Fault{faulty.None, faulty.Delay, faulty.Stale, faulty.None, faulty.None, faulty.None}, publish.Won},
-		{"lost, then a rival", []faulty.Fault{faulty.None, faulty.LoseAfter, faulty.Rival, faulty.None, faulty.None}, publish.Superseded},
-		{"not written, then a rival", []faulty.Fault{faulty.None, faulty.LoseBefore, faulty.Rival, faulty.None, faulty.None}, publish.Lost},
-		{"never settled", []faulty.Fault{faulty.None, faulty.LoseAfter, faulty.Unavailable, faulty.Unavailable}, publish.Unknown},
-		{"rival before the write", []faulty.Fault{faulty.None, faulty.Rival, faulty.Stale, faulty.None, faulty.None}, publish.Lost},
+		{"after the effect", []faulty.Fault{faulty.None, faulty.LoseReplyAfterWrite, faulty.None, faulty.None, faulty.None}, publish.Published},
+		{"before the effect", []faulty.Fault{faulty.None, faulty.LoseReplyBeforeWrite, faulty.None, faulty.None, faulty.None}, publish.Published},
+		{"effect comes later", []faulty.Fault{faulty.None, faulty.DelayWrite, faulty.None, faulty.None, faulty.None}, publish.Published},
+		{"effect comes late, read stale", []faulty.Fault{faulty.None, faulty.DelayWrite, faulty.StaleRead, faulty.None, faulty.None, faulty.None}, publish.Published},
+		{"lost, then a rival", []faulty.Fault{faulty.None, faulty.LoseReplyAfterWrite, faulty.ConcurrentPublish, faulty.None, faulty.None}, publish.Superseded},
+		{"not written, then a rival", []faulty.Fault{faulty.None, faulty.LoseReplyBeforeWrite, faulty.ConcurrentPublish, faulty.None, faulty.None}, publish.Conflict},
+		{"never settled", []faulty.Fault{faulty.None, faulty.LoseReplyAfterWrite, faulty.Unavailable, faulty.Unavailable}, publish.Unknown},
+		{"rival before the write", []faulty.Fault{faulty.None, faulty.ConcurrentPublish, faulty.StaleRead, faulty.None, faulty.None}, publish.Conflict},
 		{"down", []faulty.Fault{faulty.Unavailable, faulty.Unavailable}, publish.Unavailable},
 		{"down at the write", []faulty.Fault{faulty.None, faulty.Unavailable, faulty.Unavailable}, publish.Unavailable},
-		{"down for a while", []faulty.Fault{faulty.Unavailable, faulty.None, faulty.Unavailable, faulty.None, faulty.None}, publish.Won},
+		{"down for a while", []faulty.Fault{faulty.Unavailable, faulty.None, faulty.Unavailable, faulty.None, faulty.None}, publish.Published},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -91,47 +91,47 @@
 			kv := accepted(tc.faults...)
 			r := run(kv, faulty.Sheet(11), nil)
 			c.Assert(r.Outcome, qt.Equals, tc.want)
-			c.Assert(kv.Wrote(r.PublishID) <= 1, qt.IsTrue)
+			c.Assert(kv.WriteCount(r.PublishID) <= 1, qt.IsTrue)
 		})
 	}
 }
 
 // Two operators read the same version and publish different sheets. Exactly one
 // is accepted; the other gets what its sheet would change against the winner's.
-func TestOneOfTwoOperatorsWins(t *testing.T) {
+func TestOneOfTwoConcurrentPublishesIsAccepted(t *testing.T) {
 	c := qt.New(t)
-	kv := accepted(faulty.None, faulty.Rival, faulty.None, faulty.None)
+	kv := accepted(faulty.None, faulty.ConcurrentPublish, faulty.None, faulty.None)
 	r := run(kv, faulty.Sheet(11), nil)
-	c.Assert(r.Outcome, qt.Equals, publish.Lost)
+	c.Assert(r.Outcome, qt.Equals, publish.Conflict)
 	c.Assert(r.Accepted.GetPublishId(), qt.Equals, "rival")
 	c.Assert(r.Diff.Removed, qt.HasLen, 9)
-	c.Assert(kv.Wrote(r.PublishID), qt.Equals, 0)
+	c.Assert(kv.WriteCount(r.PublishID), qt.Equals, 0)
 }
 
 // The first read answers from the past: it shows version 5 while a rival's
 // version 6 stands. The write conflicts, and the operator learns of version 6.
-func TestStaleFirstReadCannotRevertARival(t *testing.T) {
+func TestStaleFirstReadCannotRevertConcurrentPublish(t *testing.T) {
 	c := qt.New(t)
-	kv := accepted(faulty.Stale, faulty.None, faulty.Stale, faulty.None)
-	kv.WriteRival()
+	kv := accepted(faulty.StaleRead, faulty.None, faulty.StaleRead, faulty.None)
+	kv.WriteConcurrent()
 	r := run(kv, faulty.Sheet(11), nil)
-	c.Assert(r.Outcome, qt.Equals, publish.Lost)
+	c.Assert(r.Outcome, qt.Equals, publish.Conflict)
 	c.Assert(r.Accepted.GetVersion(), qt.Equals, uint64(6))
 }
 
-func TestBaseThatIsNotAcceptedAnyMoreIsALostRace(t *testing.T) {
+func TestOutdatedBaseVersionConflicts(t *testing.T) {
 	c := qt.New(t)
 	kv := accepted()
 	r := run(kv, faulty.Sheet(11), func(o *publish.Options) { o.Base = 4 })
-	c.Assert(r.Outcome, qt.Equals, publish.Lost)
-	c.Assert(kv.Swaps, qt.Equals, 0)
+	c.Assert(r.Outcome, qt.Equals, publish.Conflict)
+	c.Assert(kv.WriteAttempts, qt.Equals, 0)
 	r = run(kv, faulty.Sheet(11), func(o *publish.Options) { o.Base = 5 })
-	c.Assert(r.Outcome, qt.Equals, publish.Won)
+	c.Assert(r.Outcome, qt.Equals, publish.Published)
 }
 
 // A cut-off export loses half of the shards; a sheet over a megabyte would be
 // refused by the platform. Neither may be written.
-func TestNothingIsWrittenOfASheetThatMayNotBe(t *testing.T) {
+func TestRefusedOrTooLargeSheetIsNotWritten(t *testing.T) {
 	c := qt.New(t)
 	kv := accepted()
 	r := run(kv, faulty.Sheet(5), nil)
@@ -145,18 +145,18 @@
 	r = run(kv, large, nil)
 	c.Assert(r.Outcome, qt.Equals, publish.TooLarge)
 	c.Assert(r.Bytes > platform.MaxValueBytes, qt.IsTrue)
-	c.Assert(kv.Swaps, qt.Equals, 0)
+	c.Assert(kv.WriteAttempts, qt.Equals, 0)
 
 	meant := faulty.Sheet(5)
 	meant.AllowLoss = true
-	c.Assert(run(kv, meant, nil).Outcome, qt.Equals, publish.Won)
+	c.Assert(run(kv, meant, nil).Outcome, qt.Equals, publish.Published)
 }
 
 // The platform comes back from an outage without the key, or with a damaged
 // value, while nodes run version 57. A new version 1 would never be in force, as
 // nodes take only higher ones; so the operators must state that they mean it,
 // and the version rises above 57.
-func TestVersionRisesAfterThePlatformLostTheValue(t *testing.T) {
+func TestVersionIncreasesAfterPlatformLosesValue(t *testing.T) {
 	c := qt.New(t)
 	nodes := func(o *publish.Options) { o.HighestInForce = 57 }
 	for _, kv := range []*faulty.KV{{}, {History: []platform.Entry{{Value: []byte{0xff}, Revision: 9}}}} {
@@ -164,7 +164,7 @@
 		meant := faulty.Sheet(10)
 		meant.AllowLoss = true
 		r := run(kv, meant, nodes)
-		c.Assert(r.Outcome, qt.Equals, publish.Won)
+		c.Assert(r.Outcome, qt.Equals, publish.Published)
 		c.Assert(r.Accepted.GetVersion(), qt.Equals, uint64(58))
 	}
 	damaged := &faulty.KV{History: []platform.Entry{{Value: []byte{0xff}, Revision: 9}}}
@@ -176,22 +176,22 @@
 // Any sequence of lost answers, late effects, stale reads, outages and rivals.
 // Whatever the publisher reports must be true of what the service accepted, and
 // the version must rise with every accepted value.
-func TestReportedOutcomeIsTrue(t *testing.T) {
+func TestReportedOutcomeMatchesStoredHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		faults := rapid.SliceOfN(rapid.IntRange(int(faulty.None), int(faulty.Rival)), 0, 12).Draw(t, "faults")
+		faults := rapid.SliceOfN(rapid.IntRange(int(faulty.None), int(faulty.ConcurrentPublish)), 0, 12).Draw(t, "faults")
 		kv := accepted()
 		for _, f := range faults {
 			kv.Faults = append(kv.Faults, faulty.Fault(f))
 		}
 		r := run(kv, faulty.Sheet(11), nil)
-		kv.Land()
-		wrote := kv.Wrote(r.PublishID)
+		kv.ApplyPending()
+		wrote := kv.WriteCount(r.PublishID)
 		switch r.Outcome {
-		case publish.Won, publish.Superseded:
+		case publish.Published, publish.Superseded:
 			if wrote != 1 {
 				t.Fatalf("%s, but written %d times", r.Outcome, wrote)
 			}
-		case publish.Lost, publish.Refused, publish.Unavailable:
+		case publish.Conflict, publish.Refused, publish.Unavailable:
 			if wrote != 0 {
 				t.Fatalf("%s, but written %d times", r.Outcome, wrote)
 			}
--- a/node/publish/write.go
+++ b/node/publish/write.go
@@ -24,7 +24,7 @@
 		_, err := p.KV.CompareAndSwap(ctx, p.Key, p.base.revision, p.value)
 		switch {
 		case err == nil:
-			return p.result(Won, p.next, nil)
+			return p.result(Published, p.next, nil)
 		case errors.Is(err, platform.ErrTooLarge):
 			return p.result(TooLarge, p.base.cfg, err)
 		case errors.Is(err, platform.ErrConflict):
@@ -55,7 +55,7 @@
 	if p.doubt {
 		return p.undecided(conflict)
 	}
-	return p.result(Lost, nil, conflict)
+	return p.result(Conflict, nil, conflict)
 }
 
 // look reads the key once; false when that does not decide the outcome.
@@ -70,14 +70,14 @@
 	}
 	switch {
 	case cfg.GetPublishId() == p.id:
-		return p.result(Won, cfg, nil), true
+		return p.result(Published, cfg, nil), true
 	case slices.Contains(cfg.GetEarlierPublishIds(), p.id):
 		return p.result(Superseded, cfg, nil), true
 	case p.doubt && cfg.GetVersion() > p.next.GetVersion()+maxEarlierIDs:
 		return p.undecided(errors.Errorf("version %d no longer names the publish ids of version %d",
 			cfg.GetVersion(), p.next.GetVersion())), true
 	}
-	return p.result(Lost, cfg, nil), true
+	return p.result(Conflict, cfg, nil), true
 }
 
 func (p *publisher) undecided(err error) Result {
@@ -97,7 +97,7 @@
 		Bytes:     len(p.value),
 		Err:       err,
 	}
-	if outcome == Lost && p.next != nil && accepted != nil {
+	if outcome == Conflict && p.next != nil && accepted != nil {
 		r.Diff = compare(accepted, p.next)
 	}
 	return r
