--- a/node/peer/bounds_test.go
+++ b/node/peer/bounds_test.go
@@ -21,7 +21,7 @@
 func TestScatterPathIsWithinBounds(t *testing.T) {
 	const shards, queries = 100, 200
 	c := qt.New(t)
-	p := newPath(c, scatterpath.Options{Shards: shards, Hop: true})
+	p := newPath(c, scatterpath.Options{Shards: shards, RemoteOwner: true})
 	wire := p.Bytes()
 	objects, bytes := bounds.Allocated(queries, func() {
 		// Admission refuses some: latencies of microseconds scatter widely.
--- a/node/peer/brief_test.go
+++ b/node/peer/brief_test.go
@@ -62,7 +62,7 @@
 
 // A query would get wrong rows, or choose replicas by wrong news, if columns lost or
 // mixed up anything: whatever is written into them is read out of them.
-func TestBriefMessagesSayTheSame(t *testing.T) {
+func TestBriefMessagesRoundTrip(t *testing.T) {
 	c := qt.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	for round := range 200 {
@@ -94,7 +94,7 @@
 // that mixes up two results, or sends one of an earlier message, must not have them
 // taken for what was asked: such results reach the query without the names that it
 // asked for, or under an attempt that it does not know, and it drops and counts them.
-func TestCrossedAndLateBriefResultsKeepNoNames(t *testing.T) {
+func TestMismatchedBriefResultsGetNoNames(t *testing.T) {
 	c := qt.New(t)
 	rng := rand.New(rand.NewPCG(3, 4))
 	subs, ordinary := answeredBy(rng, 40)
@@ -149,7 +149,7 @@
 // and a VM may come back with the release before. Each subrequest gets its answer:
 // columns go only to a boot that has said it reads them, and come back only to a
 // sender that has.
-func TestReleasesWithAndWithoutColumnsUnderstandEachOther(t *testing.T) {
+func TestScatterBetweenReleasesWithAndWithoutBriefMessages(t *testing.T) {
 	c := qt.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -187,7 +187,7 @@
 // each node handles 317,000 a second, so a byte more is 2.5 Mbit/s and an object more
 // 317,000 a second. Bounds are on both messages, encoded and decoded, with results of
 // 51 bytes.
-func TestBriefMessagesStaySmall(t *testing.T) {
+func TestBriefMessageSizeAndAllocationsAreBounded(t *testing.T) {
 	const (
 		n         = 36
 		maxBytes  = 75
--- a/node/peer/client.go
+++ b/node/peer/client.go
@@ -12,8 +12,8 @@
 	"github.com/carobmill/carobmill/node/fleet"
 )
 
-// ErrSilent is returned when a peer shows no sign of life.
-var ErrSilent = errors.New("peer is silent")
+// ErrUnresponsive is returned when a peer shows no sign of life.
+var ErrUnresponsive = errors.New("peer is silent")
 
 // statusTimeout bounds asking one member for its status.
 const statusTimeout = time.Second
--- a/node/peer/fuzz_test.go
+++ b/node/peer/fuzz_test.go
@@ -246,7 +246,7 @@
 // A part of a query comes in with large results, all at once. In one message they
 // exceed what the sender takes: it drops the message, and the whole part is absent
 // from the answer. Each result must come once, in messages that it takes.
-func TestLargeResultsComeInMessagesThatAreTaken(t *testing.T) {
+func TestLargeResultsAreSplitIntoAcceptableMessages(t *testing.T) {
 	const count = 9
 	large := make([]byte, maxMessage/(count-1))
 	stream := &collector{results: make(map[uint64]int)}
--- a/node/peer/idle_test.go
+++ b/node/peer/idle_test.go
@@ -18,7 +18,7 @@
 // A large fleet has more peers than a node talks to. A connection that a round of
 // pings uses every 13 s stays; one that nothing has used for a minute is closed,
 // and the next call opens another one, so that nobody sees a failure.
-func TestUnusedConnectionIsClosed(t *testing.T) {
+func TestIdleConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		network := memnet.New(time.Millisecond)
--- a/node/peer/path_test.go
+++ b/node/peer/path_test.go
@@ -22,7 +22,7 @@
 }
 
 func ask(c *qt.C, p *scatterpath.Path) *entry.Result {
-	answer, err := p.Ask()
+	answer, err := p.Query()
 	c.Assert(err, qt.IsNil)
 	return answer
 }
@@ -35,7 +35,7 @@
 		for _, delay := range []time.Duration{0, 4 * time.Millisecond} {
 			for _, shards := range []int{36, 100, 1700} {
 				b.Run(fmt.Sprintf("hop=%t/delay=%v/shards=%d", hop, delay, shards), func(b *testing.B) {
-					measurePath(b, newPath(qt.New(b), scatterpath.Options{Shards: shards, Hop: hop, Delay: delay}), float64(shards))
+					measurePath(b, newPath(qt.New(b), scatterpath.Options{Shards: shards, RemoteOwner: hop, Delay: delay}), float64(shards))
 				})
 			}
 		}
--- a/node/peer/scatter_test.go
+++ b/node/peer/scatter_test.go
@@ -80,7 +80,7 @@
 // late: ten siblings answer within a millisecond, one after 200 ms. They may wait for
 // each other for an eighth of the typical 8 ms, but not for the late one; and the last
 // one waits for nobody.
-func TestStragglerHoldsUpNoSibling(t *testing.T) {
+func TestSlowResultDoesNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		delays := []time.Duration{200 * time.Millisecond}
 		for i := range 10 {
@@ -95,7 +95,7 @@
 
 // An entry node gives up on an owner that shows nothing for 120 ms. With all replicas
 // slower than that, the owner has to show within 20 ms that it is alive.
-func TestOwnerShowsThatItIsAlive(t *testing.T) {
+func TestOwnerSendsEmptyMessageBeforeSlowResults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		qt.Assert(t, timed(150*time.Millisecond, 150*time.Millisecond), qt.DeepEquals, []sentMessage{
 			{After: aliveAfter},
@@ -106,7 +106,7 @@
 
 // A hedge has won, and the entry node withdraws the loser only: its replica must be
 // free for others at once, and the attempts beside it in the same message go on.
-func TestCancelEndsOneAttemptAlone(t *testing.T) {
+func TestCancelEndsOnlyNamedAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		own := &timedOwner{delays: []time.Duration{time.Second, 50 * time.Millisecond}}
 		s := &Server{fleet: noFleet{}, owner: own}
--- a/node/peer/scatterclient.go
+++ b/node/peer/scatterclient.go
@@ -141,7 +141,7 @@
 	req.Envelope = c.envelopes.Envelope()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(silentAfter, func() { cancel(ErrSilent) })
+	silence := time.AfterFunc(silentAfter, func() { cancel(ErrUnresponsive) })
 	defer silence.Stop()
 	stream, err := stub.Scatter(ctx, req)
 	if err != nil {
@@ -150,8 +150,8 @@
 	for {
 		resp, err := stream.Recv()
 		silence.Stop()
-		if errors.Is(context.Cause(ctx), ErrSilent) {
-			return ErrSilent
+		if errors.Is(context.Cause(ctx), ErrUnresponsive) {
+			return ErrUnresponsive
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
--- a/node/peer/scatterpath/path.go
+++ b/node/peer/scatterpath/path.go
@@ -27,8 +27,8 @@
 type Options struct {
 	// Shards that each query asks.
 	Shards int
-	// Hop puts the owner at another node than the entry node.
-	Hop bool
+	// RemoteOwner puts the owner at another node than the entry node.
+	RemoteOwner bool
 	// Delay is the mean time of a backend server; 0 answers at once.
 	Delay time.Duration
 }
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	for range warmUp {
-		if _, err := p.Ask(); err != nil {
+		if _, err := p.Query(); err != nil {
 			p.Close()
 			return nil, errors.Wrap(err, "warm up")
 		}
@@ -67,7 +67,7 @@
 	far := fleet.Member{Name: "far", Boot: 1 << 61, DataCentre: "dc", PeerAddress: l.Addr().String()}
 	near := fleet.Member{Name: "near", Boot: 1 << 60, DataCentre: "dc"}
 	at := near
-	if o.Hop {
+	if o.RemoteOwner {
 		at = far
 	}
 	index, err := newIndex(o.Shards)
@@ -106,9 +106,9 @@
 	}
 }
 
-// Ask runs one query. Admission refuses some, which the result says: latencies of
+// Query runs one query. Admission refuses some, which the result says: latencies of
 // microseconds scatter widely.
-func (p *Path) Ask() (*entry.Result, error) {
+func (p *Path) Query() (*entry.Result, error) {
 	return p.entry.Query(context.Background(), entry.Request{
 		Service: "timing", Class: "checkpoint", Query: []byte(`{"rider":"KE-1207"}`),
 	})
--- a/node/statusclient/peers_test.go
+++ b/node/statusclient/peers_test.go
@@ -66,7 +66,7 @@
 
 // A VM that is gone still stands at the head of the platform's list, and another
 // is leaving. The operator's tool asks the next one that lives.
-func TestVMThatIsGoneIsPassedOver(t *testing.T) {
+func TestUnreachableAndLeavingVMsAreSkipped(t *testing.T) {
 	c := qt.New(t)
 	vms := vmList{
 		{Name: "gone", PeerAddress: "127.0.0.1:1"},
@@ -85,7 +85,7 @@
 // Nodes speak mutual TLS. Somebody without a certificate, or with one of another
 // authority, learns nothing from them; a node with a foreign certificate is not
 // believed either.
-func TestOnlyTheFleetsCertificatesAreTaken(t *testing.T) {
+func TestOnlyCertificatesOfFleetAuthorityAreAccepted(t *testing.T) {
 	c := qt.New(t)
 	ours, theirs := newAuthority(c), newAuthority(c)
 	node := credentialsOf(c, issue(c, ours))
