--- a/cmd/carobmillctl/demo.go
+++ b/cmd/carobmillctl/demo.go
@@ -29,7 +29,7 @@
 	}
 	s, faults := sheetfile.Load(*file)
 	if len(faults) > 0 {
-		_, _ = io.WriteString(inv.stderr, schema.Text(faults))
+		_, _ = io.WriteString(inv.stderr, schema.FormatFaults(faults))
 		return exitUsage
 	}
 	level := "error"
--- a/cmd/carobmillctl/sheetcheck.go
+++ b/cmd/carobmillctl/sheetcheck.go
@@ -121,7 +121,7 @@
 
 func (inv *invocation) printFaults(faults []schema.Fault) {
 	if !inv.json() {
-		_, _ = io.WriteString(inv.stderr, schema.Text(faults))
+		_, _ = io.WriteString(inv.stderr, schema.FormatFaults(faults))
 		return
 	}
 	report := checkReport{Outcome: checkFaulty}
--- a/cmd/carobmillctl/standins.go
+++ b/cmd/carobmillctl/standins.go
@@ -24,7 +24,7 @@
 	}
 	s, faults := sheetfile.Load(*file)
 	if len(faults) > 0 {
-		_, _ = io.WriteString(inv.stderr, schema.Text(faults))
+		_, _ = io.WriteString(inv.stderr, schema.FormatFaults(faults))
 		return exitUsage
 	}
 	d, err := deployment.StartStandins(deployment.Options{
--- a/node/command/command.go
+++ b/node/command/command.go
@@ -165,7 +165,7 @@
 func load(file string, stderr io.Writer) (*pb.Settings, bool) {
 	s, faults := settings.Load(file)
 	if len(faults) > 0 {
-		_, _ = io.WriteString(stderr, schema.Text(faults))
+		_, _ = io.WriteString(stderr, schema.FormatFaults(faults))
 		return nil, false
 	}
 	return s, true
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -185,22 +185,22 @@
 		Service:  svc.Name,
 		Class:    class.GetName(),
 		Outcome:  metricOutcome(answer.Outcome),
-		Took:     took,
+		Latency:  took,
 		Coverage: answer.Coverage,
 		Weight:   class.GetWeight(),
 		OnTime:   took <= left,
 	})
 	for _, r := range answer.Results {
 		m.Subrequest(telemetry.Subrequest{
-			Service:  svc.Name,
-			Class:    class.GetName(),
-			Attempts: r.Attempts,
-			Queued:   r.Queued,
-			Took:     r.Took,
+			Service:   svc.Name,
+			Class:     class.GetName(),
+			Attempts:  r.Attempts,
+			QueueTime: r.Queued,
+			Latency:   r.Took,
 		})
 	}
 	for _, a := range answer.Absent {
-		m.Absent(svc.Name, class.GetName(), a.Reason)
+		m.AbsentShard(svc.Name, class.GetName(), a.Reason)
 	}
 	e.observeStats(svc, class, answer.Stats)
 }
--- a/node/forward/forward.go
+++ b/node/forward/forward.go
@@ -122,7 +122,7 @@
 	classes  map[string]*class
 
 	// lineBudget bounds the rate of log lines about requests.
-	lineBudget telemetry.LineBudget
+	lineBudget telemetry.LogLimiter
 	reach      *reachability
 	// replicas holds the replicas of the newest view by ID.
 	replicas atomic.Pointer[map[string]*registry.Replica]
@@ -267,7 +267,7 @@
 const startRetryAfter = 500 * time.Millisecond
 
 func (f *Forwarder) refuse(req *Request, reason string, after time.Duration) Answer {
-	if f.lineBudget.Take(time.Now(), true) {
+	if f.lineBudget.Allow(time.Now(), true) {
 		f.opts.Log.WithFields(logrus.Fields{
 			"request": req.ID, "outcome": NotRun.String(), "retry_after_ms": after.Milliseconds(),
 		}).Info(reason)
--- a/node/forward/requestlog.go
+++ b/node/forward/requestlog.go
@@ -106,7 +106,7 @@
 	took := q.elapsed()
 	late := q.route.Objective > 0 && took > q.route.Objective
 	fault := a.Outcome >= NoRoute || a.Missing > 0 || late
-	if !q.f.lineBudget.Take(time.Now(), fault) {
+	if !q.f.lineBudget.Allow(time.Now(), fault) {
 		return
 	}
 	attempts := make([]attemptLine, 0, len(q.attempts))
--- a/node/gateway/assemble.go
+++ b/node/gateway/assemble.go
@@ -94,7 +94,7 @@
 		MaxResultBytes: int64(g.settings.GetLimits().GetMaxResultBytes()),
 		Event:          g.recordEvent,
 	})
-	g.metrics.AddSource(g.backends.Report)
+	g.metrics.AddGaugeSource(g.backends.Report)
 	forwarding := g.settings.GetForwarding()
 	g.forwarder = forward.New(forward.Options{
 		Source:      g.directory,
--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -82,7 +82,7 @@
 
 // record counts a request that was answered by this node.
 func (g *Gateway) record(r *route.Route, a *forward.Answer, took time.Duration) {
-	g.countQuery(telemetry.Query{Service: r.Name, Class: r.Name, Took: took, OnTime: took <= r.Objective}, a)
+	g.countQuery(telemetry.Query{Service: r.Name, Class: r.Name, Latency: took, OnTime: took <= r.Objective}, a)
 }
 
 // relayedRoute is the route label of requests that were relayed. Only the coordinator
@@ -93,7 +93,7 @@
 // unavailable here, so each answered request counts as on time.
 func (g *Gateway) recordRelayed(a *forward.Answer, took time.Duration) {
 	answered := a.Outcome == forward.Passed || a.Outcome == forward.Merged
-	g.countQuery(telemetry.Query{Service: relayedRoute, Class: relayedRoute, Took: took, OnTime: answered}, a)
+	g.countQuery(telemetry.Query{Service: relayedRoute, Class: relayedRoute, Latency: took, OnTime: answered}, a)
 }
 
 func (g *Gateway) countQuery(q telemetry.Query, a *forward.Answer) {
--- a/node/node/node.go
+++ b/node/node/node.go
@@ -103,7 +103,7 @@
 		Event:          n.event,
 		OnDisconnect:   func(replica string) { n.owner.ConnectionLost(replica) },
 	})
-	metrics.AddSource(n.backends.Report)
+	metrics.AddGaugeSource(n.backends.Report)
 	envelopes := &lazyEnvelopes{}
 	n.peers = peer.NewClient(n.pool, envelopes)
 	n.fleet = fleet.New(fleet.Options{
@@ -152,7 +152,7 @@
 		MaxQueries: int(limits.GetMaxQueries()),
 		Boot:       n.boot,
 	})
-	claims := n.platform.Share(claimShare)
+	claims := n.platform.WithBudgetShare(claimShare)
 	n.executor = execute.New(execute.Options{
 		Fleet:  n.settings.GetFleet(),
 		Index:  n.fleet.Index,
@@ -163,7 +163,7 @@
 		Log:    n.log,
 		Event:  n.event,
 	})
-	n.metrics.AddSource(n.executor.Report)
+	n.metrics.AddGaugeSource(n.executor.Report)
 	n.callers = caller.NewHandler(caller.Options{
 		Querier:      n.entry,
 		Executor:     n.executor,
--- a/node/platform/client.go
+++ b/node/platform/client.go
@@ -68,10 +68,10 @@
 	return rate.NewLimiter(rate.Limit(callsPerSecond), burst)
 }
 
-// Share returns a client of the same service whose calls come out of the same
+// WithBudgetShare returns a client of the same service whose calls come out of the same
 // budget and take up at most this part of it, so that one use of the platform
 // leaves room for the others.
-func (c *Client) Share(part float64) *Client {
+func (c *Client) WithBudgetShare(part float64) *Client {
 	shared := *c
 	own := newBudget(part * float64(c.budgets[0].Limit()))
 	shared.budgets = append([]*rate.Limiter{own}, c.budgets...)
--- a/node/platform/client_test.go
+++ b/node/platform/client_test.go
@@ -27,7 +27,7 @@
 // A write's fate decides whether a request may be sent, so each failure must
 // be told apart: refused by revision, lost after it took effect, lost before,
 // and never sent because the service is down.
-func TestCompareAndSwapTellsItsFailuresApart(t *testing.T) {
+func TestCompareAndSwapDistinguishesFailureKinds(t *testing.T) {
 	c := qt.New(t)
 	s, kv := start(t, plenty)
 	ctx := context.Background()
@@ -62,7 +62,7 @@
 
 // The service takes no value above a megabyte. The client refuses before the
 // write, and the stand-in refuses one that comes all the same.
-func TestValueAboveTheLimitIsRefused(t *testing.T) {
+func TestValueAboveSizeLimitIsRejected(t *testing.T) {
 	c := qt.New(t)
 	s, kv := start(t, plenty)
 	ctx := context.Background()
@@ -78,7 +78,7 @@
 
 // A node that loses its head must not take the service's rates from the rest
 // of the fleet: calls above the budget fail here and never reach the service.
-func TestBudgetBoundsCalls(t *testing.T) {
+func TestCallsAboveBudgetAreNotSent(t *testing.T) {
 	c := qt.New(t)
 	s, kv := start(t, 0.001)
 	_, err := kv.Get(context.Background(), "k")
@@ -91,10 +91,10 @@
 
 // A flood of keyed requests uses up its share of the budget. The watch of the
 // configuration must still get through, or a change would not come into force.
-func TestShareLeavesTheRestOfTheBudget(t *testing.T) {
+func TestBudgetShareLeavesCallsForOtherUses(t *testing.T) {
 	c := qt.New(t)
 	_, kv := start(t, 4)
-	claims := kv.Share(0.5)
+	claims := kv.WithBudgetShare(0.5)
 	ctx := context.Background()
 	for range 2 {
 		_, err := claims.Get(ctx, "k")
@@ -109,7 +109,7 @@
 
 // Reads from the past must not look like news, and a watch is one call however
 // long it waits.
-func TestWatchWaitsForAHigherRevision(t *testing.T) {
+func TestWatchWaitsForHigherRevision(t *testing.T) {
 	c := qt.New(t)
 	s, kv := start(t, plenty)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -140,7 +140,7 @@
 
 // A lease lapses while its holder is paused: the key is gone, and keeping the
 // lease alive or writing under it says so.
-func TestLapsedLeaseTakesItsKeys(t *testing.T) {
+func TestExpiredLeaseDeletesItsKeys(t *testing.T) {
 	c := qt.New(t)
 	s, kv := start(t, plenty)
 	ctx := context.Background()
@@ -160,7 +160,7 @@
 	c.Assert(err, qt.ErrorIs, platform.ErrNotFound)
 }
 
-func TestVMListLags(t *testing.T) {
+func TestVMListMayBeStale(t *testing.T) {
 	c := qt.New(t)
 	s, client := start(t, plenty)
 	s.SetVMLag(time.Hour)
--- a/node/platform/fuzz_test.go
+++ b/node/platform/fuzz_test.go
@@ -91,7 +91,7 @@
 // A value, or a list of VMs, that is longer than the platform can hold must not be
 // cut and taken for the whole: a configuration that is cut between two replicas
 // still parses.
-func TestAnswerThatIsTooLongIsNotCut(t *testing.T) {
+func TestOversizedResponseIsRejected(t *testing.T) {
 	answer := bytes.NewBufferString("HTTP/1.1 200 OK\r\nPlatform-Revision: 7\r\n\r\n")
 	answer.Write(make([]byte, 2*platform.MaxValueBytes))
 	client := platform.New("http://platform", plenty, canned(answer.Bytes()))
--- a/node/relay/relay.go
+++ b/node/relay/relay.go
@@ -57,7 +57,7 @@
 // Relay sends callers' requests to coordinators. Safe for concurrent use.
 type Relay struct {
 	opts      Options
-	logBudget telemetry.LineBudget
+	logBudget telemetry.LogLimiter
 
 	// maxBodyBytes is the limit of request bodies that a coordinator reported last; 0 for
 	// none.
@@ -203,7 +203,7 @@
 		r.logLost(to, req)
 		return forward.Answer{Outcome: forward.Failed}, true
 	}
-	if r.logBudget.Take(time.Now(), true) {
+	if r.logBudget.Allow(time.Now(), true) {
 		r.opts.Log.WithFields(logrus.Fields{
 			"request": req.ID, "coordinator": to.Node, "refusal": result.refusal.String(),
 			"took_ms": time.Since(start).Milliseconds(), logrus.ErrorKey: err,
@@ -214,7 +214,7 @@
 
 // logLost logs that a request was lost with its coordinator.
 func (r *Relay) logLost(to coordinator.Member, req *forward.Request) {
-	if r.logBudget.Take(time.Now(), true) {
+	if r.logBudget.Allow(time.Now(), true) {
 		r.opts.Log.WithFields(logrus.Fields{
 			"request": req.ID, "coordinator": to.Node, "outcome": forward.Failed.String(),
 			"took_ms": time.Since(req.Arrived).Milliseconds(),
@@ -287,7 +287,7 @@
 
 // refuse answers a request that no node has run.
 func (r *Relay) refuse(req *forward.Request) forward.Answer {
-	if r.logBudget.Take(time.Now(), true) {
+	if r.logBudget.Allow(time.Now(), true) {
 		r.opts.Log.WithFields(logrus.Fields{
 			"request": req.ID, "outcome": forward.NotRun.String(), "retry_after_ms": localRetryAfter.Milliseconds(),
 			"took_ms": time.Since(req.Arrived).Milliseconds(),
--- a/node/schema/fault.go
+++ b/node/schema/fault.go
@@ -41,8 +41,8 @@
 	return merged
 }
 
-// Text gives the faults, each on a line of its own.
-func Text(faults []Fault) string {
+// FormatFaults gives the faults, each on a line of its own.
+func FormatFaults(faults []Fault) string {
 	var b strings.Builder
 	for _, f := range faults {
 		b.WriteString(f.String())
--- a/node/settings/settings.go
+++ b/node/settings/settings.go
@@ -18,9 +18,9 @@
 	DefaultMaxBodyBytes   = 1 << 20
 	DefaultMaxResultBytes = 4 << 20
 	DefaultRingSize       = 4096
-	// DefaultPlatformCalls suits 8 nodes; docs/operations/settings.md gives the
+	// DefaultPlatformCallsPerSecond suits 8 nodes; docs/operations/settings.md gives the
 	// value for a larger fleet, whose nodes share the platform's rates.
-	DefaultPlatformCalls = 20
+	DefaultPlatformCallsPerSecond = 20
 
 	DefaultPingIntervalMs      = 200
 	DefaultPingTimeoutMs       = 150
@@ -93,7 +93,7 @@
 	l.MaxBodyBytes = orDefault(l.MaxBodyBytes, DefaultMaxBodyBytes)
 	l.MaxResultBytes = orDefault(l.MaxResultBytes, DefaultMaxResultBytes)
 	l.RingSize = orDefault(l.RingSize, DefaultRingSize)
-	l.PlatformCallsPerSecond = orDefault(l.PlatformCallsPerSecond, DefaultPlatformCalls)
+	l.PlatformCallsPerSecond = orDefault(l.PlatformCallsPerSecond, DefaultPlatformCallsPerSecond)
 }
 
 func timingDefaults(t *pb.Timing) {
--- a/node/settings/settings_test.go
+++ b/node/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/carobmill/carobmill/node/settings"
 )
 
-func TestExampleSettingsTakeDefaults(t *testing.T) {
+func TestExampleSettingsGetDefaults(t *testing.T) {
 	c := qt.New(t)
 	s, faults := settings.Load("../../examples/node.yaml")
 	c.Assert(faults, qt.HasLen, 0)
@@ -30,7 +30,7 @@
 // A node that starts with faulty settings would join with a wrong address or
 // data centre, or without TLS; it must not start, and the operator must see
 // which field is wrong.
-func TestFaultsOfSettings(t *testing.T) {
+func TestInvalidSettingIsReportedByField(t *testing.T) {
 	cases := []struct{ name, old, new, want string }{
 		{"host name", "peer_address: \"127.0.0.1:8082\"", "peer_address: \"localhost:8082\"",
 			`n.yaml: peer_address: is "localhost:8082", an IP number and a port, .*`},
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestPartOfTLSIsRefused(t *testing.T) {
+func TestIncompleteTLSSettingsAreRejected(t *testing.T) {
 	c := qt.New(t)
 	text := replaced(c, "log:\n", "tls:\n  key_file: /k\nlog:\n")
 	_, faults := settings.Parse("n.yaml", []byte(text))
--- a/node/sheetfile/faulty_test.go
+++ b/node/sheetfile/faulty_test.go
@@ -19,7 +19,7 @@
 // An operator or an export gets one thing wrong in the Kenyan sheet. The check
 // must name the path of the fault; a sheet that passes takes effect on every
 // node within seconds.
-func TestFaultsOfASheet(t *testing.T) {
+func TestInvalidSheetIsReportedByFieldPath(t *testing.T) {
 	cases := []struct {
 		name     string
 		old, new string
@@ -88,7 +88,7 @@
 }
 
 // A sheet with many faults is mended in one go, so one run names them all.
-func TestAllFaultsAtOnce(t *testing.T) {
+func TestAllFaultsAreReportedTogether(t *testing.T) {
 	c := qt.New(t)
 	text := example(c)
 	text = strings.Replace(text, "slots: 3", "slots: 0", 2)
@@ -108,7 +108,7 @@
 }
 
 // A shard whose replicas are gone would make every answer partial.
-func TestShardWithoutReplicas(t *testing.T) {
+func TestShardWithoutReplicasIsRejected(t *testing.T) {
 	c := qt.New(t)
 	lines := strings.Split(example(c), "\n")
 	var kept []string
@@ -126,7 +126,7 @@
 
 // The export of the sheet stops half-way, at any byte: the rest is often valid
 // YAML and would silently take replicas out of service.
-func TestCutOffFileIsRefusedAtEveryLength(t *testing.T) {
+func TestTruncatedFileIsRejectedAtEveryLength(t *testing.T) {
 	c := qt.New(t)
 	text := example(c)
 	whole := len(strings.TrimRight(text, "\n"))
--- a/node/sheetfile/sheetfile_test.go
+++ b/node/sheetfile/sheetfile_test.go
@@ -10,7 +10,7 @@
 	"github.com/carobmill/carobmill/policy/sheet"
 )
 
-func TestExampleSheetsHaveTheSizesOfToday(t *testing.T) {
+func TestExampleSheetsHaveExpectedReplicaCounts(t *testing.T) {
 	c := qt.New(t)
 	for file, replicas := range map[string]int{"kenya": 10*3 + 15*3 + 25 + 13, "chile": 10*3 + 15*3 + 4 + 4} {
 		s, faults := sheetfile.Load("../../examples/" + file + ".yaml")
--- a/node/telemetry/class.go
+++ b/node/telemetry/class.go
@@ -95,7 +95,7 @@
 		w.met += q.Weight
 	}
 	if q.Outcome != OutcomeRefused {
-		took := min(max(q.Took, time.Microsecond), maxRecorded)
+		took := min(max(q.Latency, time.Microsecond), maxRecorded)
 		// In range, so that recording cannot fail.
 		_ = c.window.Current.RecordValue(took.Microseconds())
 	}
@@ -120,8 +120,8 @@
 	c.weights[c.current] = weights{}
 }
 
-// Measure is how one class fared over the last minute.
-type Measure struct {
+// ClassStats is how one class fared over the last minute.
+type ClassStats struct {
 	Service, Class string
 	// Answered requests; refused ones are not among them.
 	Answered int64
@@ -130,20 +130,20 @@
 	Weight, WeightMet float64
 }
 
-// Share returns the weighted share of requests answered in full and on time; 1
+// FullAndOnTimeShare returns the weighted share of requests answered in full and on time; 1
 // when there was none.
-func (s Measure) Share() float64 {
+func (s ClassStats) FullAndOnTimeShare() float64 {
 	if s.Weight == 0 {
 		return 1
 	}
 	return s.WeightMet / s.Weight
 }
 
-func (c *classMetrics) read(key classKey) Measure {
+func (c *classMetrics) read(key classKey) ClassStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	merged := c.window.Merge()
-	s := Measure{
+	s := ClassStats{
 		Service:  key.service,
 		Class:    key.class,
 		Answered: merged.TotalCount(),
@@ -156,9 +156,9 @@
 	return s
 }
 
-// Measures returns every class's figures over the last minute, in no order.
-func (m *Metrics) Measures() []Measure {
-	var all []Measure
+// ClassStats returns every class's figures over the last minute, in no order.
+func (m *Metrics) ClassStats() []ClassStats {
+	var all []ClassStats
 	m.classes.Range(func(key, c any) bool {
 		all = append(all, c.(*classMetrics).read(key.(classKey)))
 		return true
@@ -187,7 +187,7 @@
 		c.turn(now)
 		s := c.read(key.(classKey))
 		c.p99.Update(s.P99.Seconds())
-		c.share.Update(s.Share())
+		c.share.Update(s.FullAndOnTimeShare())
 		return true
 	})
 }
--- a/node/telemetry/linebudget.go
+++ b/node/telemetry/loglimiter.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// LineBudget bounds the log lines about single requests, so that the log costs the
+// LogLimiter bounds the log lines about single requests, so that the log costs the
 // same under any load. Lines about failures have a budget of their own. The zero
 // value is ready. Safe for concurrent use.
-type LineBudget struct {
+type LogLimiter struct {
 	// mu guards the fields below.
 	mu       sync.Mutex
 	second   int64
@@ -23,8 +23,8 @@
 	failureLines  = 50
 )
 
-// Take reports whether a line may be written now.
-func (b *LineBudget) Take(now time.Time, failure bool) bool {
+// Allow reports whether a line may be written now.
+func (b *LogLimiter) Allow(now time.Time, failure bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if second := now.Unix(); second != b.second {
--- a/node/telemetry/metrics.go
+++ b/node/telemetry/metrics.go
@@ -45,8 +45,8 @@
 type Query struct {
 	Service, Class string
 	Outcome        Outcome
-	// Took is the time from the request's arrival to its answer.
-	Took time.Duration
+	// Latency is the time from the request's arrival to its answer.
+	Latency time.Duration
 	// Coverage is the share of shards answered, from 0 to 1.
 	Coverage float64
 	// Weight of the class in the share answered in full and on time.
@@ -60,10 +60,10 @@
 	Service, Class string
 	// Attempts sent for it, hedges, retries and warm-ups included.
 	Attempts int
-	// Queued at the owner before a connection and a slot were free.
-	Queued time.Duration
-	// Took from the first attempt to the answer used.
-	Took time.Duration
+	// QueueTime at the owner before a connection and a slot were free.
+	QueueTime time.Duration
+	// Latency from the first attempt to the answer used.
+	Latency time.Duration
 }
 
 // Metrics records what a node does. Safe for concurrent use.
@@ -80,7 +80,7 @@
 
 	// mu guards the field below.
 	mu      sync.Mutex
-	sources []Source
+	sources []GaugeSource
 }
 
 type classKey struct{ service, class string }
@@ -118,7 +118,7 @@
 	c := m.class(q.Service, q.Class)
 	c.outcome[min(max(q.Outcome, 0), outcomes-1)].Inc(1)
 	if q.Outcome != OutcomeRefused {
-		c.latency.RecordDuration(q.Took)
+		c.latency.RecordDuration(q.Latency)
 		c.coverage.RecordValue(q.Coverage)
 	}
 	c.measure(q)
@@ -128,8 +128,8 @@
 func (m *Metrics) Subrequest(s Subrequest) {
 	c := m.class(s.Service, s.Class)
 	c.attempts.RecordValue(float64(s.Attempts))
-	c.queued.RecordDuration(s.Queued)
-	c.subrequest.RecordDuration(s.Took)
+	c.queued.RecordDuration(s.QueueTime)
+	c.subrequest.RecordDuration(s.Latency)
 }
 
 // Hedge counts an extra attempt that was sent while another was outstanding.
@@ -157,8 +157,8 @@
 	m.count(counterKey{name: "refused", service: service, class: class, reason: reasonName(reason)})
 }
 
-// Absent counts a shard without a result in an answer, by reason.
-func (m *Metrics) Absent(service, class string, reason pb.Reason) {
+// AbsentShard counts a shard without a result in an answer, by reason.
+func (m *Metrics) AbsentShard(service, class string, reason pb.Reason) {
 	m.count(counterKey{name: "absent_shards", service: service, class: class, reason: reasonName(reason)})
 }
 
@@ -177,12 +177,12 @@
 	m.count(counterKey{name: "decisions", reason: kind})
 }
 
-// Source gives values of the node, such as the configuration version in force,
+// GaugeSource gives values of the node, such as the configuration version in force,
 // by calling set for each.
-type Source func(set func(name string, value float64))
+type GaugeSource func(set func(name string, value float64))
 
-// AddSource makes the values of a source gauges; it is asked once a second.
-func (m *Metrics) AddSource(s Source) {
+// AddGaugeSource makes the values of a source gauges; it is asked once a second.
+func (m *Metrics) AddGaugeSource(s GaugeSource) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.sources = append(m.sources, s)
--- a/node/telemetry/queued_test.go
+++ b/node/telemetry/queued_test.go
@@ -29,7 +29,7 @@
 
 // Whoever reads a node's standard output stands still. Requests go on: lines that find
 // the queue full are dropped, and their number is told when the reader is back.
-func TestQueuedWriterDropsInsteadOfWaiting(t *testing.T) {
+func TestQueuedWriterDropsLinesInsteadOfBlocking(t *testing.T) {
 	c := qt.New(t)
 	g := &gate{open: make(chan struct{})}
 	w := telemetry.NewQueuedWriter(g)
--- a/node/telemetry/telemetry_test.go
+++ b/node/telemetry/telemetry_test.go
@@ -14,13 +14,13 @@
 	"github.com/carobmill/carobmill/node/telemetry"
 )
 
-func TestMeasuresWeighRefusedAndPartialAnswersAsMissed(t *testing.T) {
+func TestClassStatsCountRefusedAndPartialAnswersAsMissed(t *testing.T) {
 	c := qt.New(t)
 	m, _ := telemetry.New()
 	defer m.Close()
 	record := func(outcome telemetry.Outcome, took time.Duration, onTime bool) {
 		m.Query(telemetry.Query{Service: "portal", Class: "audit", Outcome: outcome,
-			Took: took, Coverage: 1, Weight: 2, OnTime: onTime})
+			Latency: took, Coverage: 1, Weight: 2, OnTime: onTime})
 	}
 	for range 95 {
 		record(telemetry.OutcomeComplete, 10*time.Millisecond, true)
@@ -31,20 +31,20 @@
 	record(telemetry.OutcomeRefused, time.Microsecond, true)
 	m.Refused("portal", "audit", pb.Reason_REASON_OVERLOAD)
 
-	all := m.Measures()
+	all := m.ClassStats()
 	c.Assert(all, qt.HasLen, 1)
-	c.Assert(all[0].Share(), qt.Equals, 0.95)
+	c.Assert(all[0].FullAndOnTimeShare(), qt.Equals, 0.95)
 	c.Assert(all[0].Answered, qt.Equals, int64(98))
 	c.Assert(all[0].P99 > 700*time.Millisecond, qt.IsTrue, qt.Commentf("%v", all[0].P99))
 }
 
-func TestTwoNodesInOneProcessKeepTheirMetricsApart(t *testing.T) {
+func TestNodesInOneProcessHaveSeparateMetrics(t *testing.T) {
 	c := qt.New(t)
 	one, oneHandler := telemetry.New()
 	two, twoHandler := telemetry.New()
 	one.Refused("timing", "entrant", pb.Reason_REASON_OVERLOAD)
 	two.Hedge("timing", "checkpoint")
-	one.Query(telemetry.Query{Service: "timing", Class: "entrant", Took: time.Millisecond, Coverage: 1})
+	one.Query(telemetry.Query{Service: "timing", Class: "entrant", Latency: time.Millisecond, Coverage: 1})
 	// Closing reports what was recorded so far.
 	one.Close()
 	two.Close()
@@ -67,7 +67,7 @@
 	return string(body)
 }
 
-func TestLogRefusesUnknownFormat(t *testing.T) {
+func TestNewLogRejectsUnknownLevelAndFormat(t *testing.T) {
 	c := qt.New(t)
 	_, err := telemetry.NewLog("info", "xml")
 	c.Assert(err, qt.ErrorMatches, `log format "xml": allowed are json and text`)
