--- a/node/command/command.go
+++ b/node/command/command.go
@@ -4,7 +4,7 @@
 //	carobmill check-settings FILE
 //	carobmill version
 //
-// Exit codes: 0 success, 1 failure while running, 2 faulty settings or usage.
+// Exit codes: 0 success, 1 failure while running, 2 invalid settings or usage.
 package command
 
 import (
@@ -42,26 +42,27 @@
   carobmill version
 `
 
-// AdapterFactory makes the adapter of a forwarding node; nil where the binary has none.
+// AdapterFactory returns the platform adapter of a forwarding node. It is nil in a
+// binary without a platform adapter.
 type AdapterFactory func(*pb.Settings) gateway.Adapter
 
-// Main runs the command line of this process until it is told to end, and returns the
-// exit code.
-func Main(adapters AdapterFactory) int {
+// Main runs the command line of this process until it receives SIGTERM or SIGINT, and
+// returns the exit code.
+func Main(newAdapter AdapterFactory) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	return Run(ctx, os.Args[1:], os.Stdout, os.Stderr, adapters)
+	return Run(ctx, os.Args[1:], os.Stdout, os.Stderr, newAdapter)
 }
 
 // Run runs a command line until ctx ends and returns its exit code.
-func Run(ctx context.Context, args []string, stdout, stderr io.Writer, adapters AdapterFactory) int {
+func Run(ctx context.Context, args []string, stdout, stderr io.Writer, newAdapter AdapterFactory) int {
 	if len(args) == 0 {
 		_, _ = io.WriteString(stderr, usage)
 		return ExitUsage
 	}
 	switch args[0] {
 	case "run":
-		return runNode(ctx, args[1:], stdout, stderr, adapters)
+		return runNode(ctx, args[1:], stdout, stderr, newAdapter)
 	case "check-settings":
 		return checkSettings(args[1:], stdout, stderr)
 	case "version":
@@ -73,7 +74,7 @@
 	}
 }
 
-func runNode(ctx context.Context, args []string, stdout, stderr io.Writer, adapters AdapterFactory) int {
+func runNode(ctx context.Context, args []string, stdout, stderr io.Writer, newAdapter AdapterFactory) int {
 	flags := flag.NewFlagSet("run", flag.ContinueOnError)
 	flags.SetOutput(stderr)
 	file := flags.String("settings", "", "the node's settings, a YAML `FILE`")
@@ -81,7 +82,7 @@
 		return ExitUsage
 	}
 	if *file == "" || flags.NArg() > 0 {
-		_, _ = fmt.Fprintf(stderr, "-settings FILE is required, and nothing else\n%s", usage)
+		_, _ = fmt.Fprintf(stderr, "-settings FILE is required; run takes no other arguments\n%s", usage)
 		return ExitUsage
 	}
 	s, ok := load(*file, stderr)
@@ -93,46 +94,48 @@
 		_, _ = fmt.Fprintln(stderr, err)
 		return ExitUsage
 	}
-	lines := telemetry.NewQueuedWriter(stdout)
-	defer lines.Close()
-	log.SetOutput(lines)
-	// Libraries write of connections that were given up, as often as replicas spoil
-	// answers; the node's own log tells of those requests.
+	output := telemetry.NewQueuedWriter(stdout)
+	defer output.Close()
+	log.SetOutput(output)
+	// Libraries log each broken connection. Faulty replicas would flood the log with
+	// them, and the node itself logs the failed requests, so these lines are at debug
+	// level.
 	library := log.WriterLevel(logrus.DebugLevel)
 	defer func() { _ = library.Close() }()
 	stdlog.SetFlags(0)
 	stdlog.SetOutput(library)
 	watchReload(ctx, log)
-	n, err := newNode(s, log, adapters)
+	n, err := newNode(s, log, newAdapter)
 	if err != nil {
-		log.WithError(err).Error("the node cannot start")
+		log.WithError(err).Error("node failed to start")
 		return ExitFailed
 	}
 	if err := n.Run(ctx); err != nil {
-		log.WithError(err).Error("the node has failed")
+		log.WithError(err).Error("node failed")
 		return ExitFailed
 	}
 	return ExitOK
 }
 
-// runner is a node of either kind.
+// runner is an ordinary or a forwarding node.
 type runner interface {
 	Run(ctx context.Context) error
 }
 
-// newNode builds the kind of node that the settings ask for.
-func newNode(s *pb.Settings, log logrus.FieldLogger, adapters AdapterFactory) (runner, error) {
+// newNode returns a forwarding node if the settings enable forwarding, or else an
+// ordinary node.
+func newNode(s *pb.Settings, log logrus.FieldLogger, newAdapter AdapterFactory) (runner, error) {
 	if s.GetForwarding() == nil {
 		return node.New(s, log, nil)
 	}
-	if adapters == nil {
-		return nil, errors.New("settings ask for forwarding, but this binary has no adapter of a platform")
+	if newAdapter == nil {
+		return nil, errors.New("settings enable forwarding, but this binary has no platform adapter")
 	}
-	return gateway.New(s, log, adapters(s))
+	return gateway.New(s, log, newAdapter(s))
 }
 
-// watchReload notes requests to read the settings again. They take effect at the next
-// start: what changes while a node runs comes from the operators' configuration.
+// watchReload logs each SIGHUP until ctx ends. The settings are read only at startup;
+// whatever changes while a node runs is part of the fleet's configuration.
 func watchReload(ctx context.Context, log logrus.FieldLogger) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -143,7 +146,7 @@
 			case <-ctx.Done():
 				return
 			case <-hangups:
-				log.Info("reload: settings take effect at the next start")
+				log.Info("reload: settings take effect after a restart of the node")
 			}
 		}
 	}()
@@ -151,7 +154,7 @@
 
 func checkSettings(args []string, stdout, stderr io.Writer) int {
 	if len(args) != 1 {
-		_, _ = fmt.Fprintf(stderr, "check-settings takes one file\n%s", usage)
+		_, _ = fmt.Fprintf(stderr, "check-settings requires exactly one FILE\n%s", usage)
 		return ExitUsage
 	}
 	if _, ok := load(args[0], stderr); !ok {
@@ -161,7 +164,7 @@
 	return ExitOK
 }
 
-// load reads settings and prints all their faults.
+// load reads the settings and prints all errors found in them.
 func load(file string, stderr io.Writer) (*pb.Settings, bool) {
 	s, faults := settings.Load(file)
 	if len(faults) > 0 {
