--- a/node/execute/claims.go
+++ b/node/execute/claims.go
@@ -14,10 +14,10 @@
 	"github.com/carobmill/carobmill/policy/dispatch"
 )
 
-// claim writes a claim. While the platform does not answer, most requests do
-// not wait for it at all.
-func (x *Executor) claim(ctx context.Context, r *run, a dispatch.Claim) dispatch.Event {
-	if !x.gate.enter(time.Now()) {
+// writeClaim writes a claim. While the circuit breaker is open, the write fails without
+// a call to the platform.
+func (x *Executor) writeClaim(ctx context.Context, r *run, a dispatch.Claim) dispatch.Event {
+	if !x.breaker.allow(time.Now()) {
 		return dispatch.ClaimWritten{Result: dispatch.WriteFailed}
 	}
 	ctx, cancel := context.WithTimeout(ctx, x.opts.ClaimTimeout)
@@ -28,32 +28,33 @@
 	}
 	x.stats.claimWrites.Add(1)
 	revision, err := x.opts.Claims.CompareAndSwap(ctx, r.claimKey, a.Revision, value)
-	x.gate.leave(time.Now(), err)
-	return written(revision, err)
+	x.breaker.record(time.Now(), err)
+	return writeEvent(revision, err)
 }
 
-// settle writes the final claim, under the retention's lease if there is one.
-func (x *Executor) settle(ctx context.Context, r *run, a dispatch.CompleteClaim) dispatch.Event {
+// completeClaim writes the final claim. The claim is attached to a lease if there is
+// one, and expires with it.
+func (x *Executor) completeClaim(ctx context.Context, r *run, a dispatch.CompleteClaim) dispatch.Event {
 	ctx, cancel := context.WithTimeout(ctx, x.opts.ClaimTimeout)
 	defer cancel()
 	value, err := proto.Marshal(a.Value)
 	if err != nil {
 		return dispatch.ClaimWritten{Result: dispatch.WriteFailed}
 	}
-	x.stats.settleWrites.Add(1)
-	lease := x.retention.lease(ctx, time.Now())
+	x.stats.completionWrites.Add(1)
+	lease := x.leases.get(ctx, time.Now())
 	if lease == 0 {
-		return written(x.opts.Claims.CompareAndSwap(ctx, r.claimKey, a.Revision, value))
+		return writeEvent(x.opts.Claims.CompareAndSwap(ctx, r.claimKey, a.Revision, value))
 	}
 	revision, err := x.opts.Leases.CompareAndSwapLeased(ctx, r.claimKey, a.Revision, value, lease)
 	if errors.Is(err, platform.ErrNotFound) {
-		x.retention.forget(lease)
+		x.leases.invalidate(lease)
 		return dispatch.ClaimWritten{Result: dispatch.WriteFailed}
 	}
-	return written(revision, err)
+	return writeEvent(revision, err)
 }
 
-func written(revision uint64, err error) dispatch.Event {
+func writeEvent(revision uint64, err error) dispatch.Event {
 	switch {
 	case err == nil:
 		return dispatch.ClaimWritten{Result: dispatch.WriteDone, Revision: revision}
@@ -73,7 +74,7 @@
 	defer cancel()
 	x.stats.claimReads.Add(1)
 	e, err := x.opts.Claims.Get(ctx, r.claimKey)
-	x.gate.leave(time.Now(), err)
+	x.breaker.record(time.Now(), err)
 	if errors.Is(err, platform.ErrNotFound) {
 		return dispatch.ClaimRead{Result: dispatch.ReadAbsent}
 	}
@@ -85,99 +86,101 @@
 }
 
 const (
-	// gateFailures calls in a row without an answer close the gate; it then lets
-	// one call through in each gateInterval.
-	gateFailures = 3
-	gateInterval = time.Second
+	// breakerThreshold is the number of consecutive failed calls that opens the circuit
+	// breaker. While open, it allows one probe in each breakerProbeInterval.
+	breakerThreshold     = 3
+	breakerProbeInterval = time.Second
 )
 
-// gate keeps requests from waiting for a platform that does not answer: without
-// it, each keyed request of an outage would wait for a timeout of its own.
-type gate struct {
+// breaker is the circuit breaker for writes of new claims. Without it, each request
+// with an idempotency key would wait for its own timeout during an outage.
+type breaker struct {
 	// mu guards the fields below.
-	mu       sync.Mutex
-	failures int
-	next     time.Time
+	mu        sync.Mutex
+	failures  int
+	nextProbe time.Time
 }
 
-// enter reports whether to call the platform now.
-func (g *gate) enter(now time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.failures < gateFailures {
+// allow reports whether the write may be sent now.
+func (b *breaker) allow(now time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.failures < breakerThreshold {
 		return true
 	}
-	if now.Before(g.next) {
+	if now.Before(b.nextProbe) {
 		return false
 	}
-	g.next = now.Add(gateInterval)
+	b.nextProbe = now.Add(breakerProbeInterval)
 	return true
 }
 
-func (g *gate) leave(now time.Time, err error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (b *breaker) record(now time.Time, err error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	switch {
 	case err == nil, errors.Is(err, platform.ErrConflict), errors.Is(err, platform.ErrNotFound):
-		g.failures = 0
+		b.failures = 0
 	case errors.Is(err, platform.ErrBudget):
-		// Says nothing about the platform.
+		// The client's own call budget rejected the call. This is no signal about the
+		// platform.
 	default:
-		g.failures++
-		g.next = now.Add(gateInterval)
+		b.failures++
+		b.nextProbe = now.Add(breakerProbeInterval)
 	}
 }
 
-// retentionParts is into how many parts the retention is cut: a lease takes
-// claims for one part and lives for one part more than the retention.
-const retentionParts = 8
+// leasesPerRetention is the number of leases granted in one retention period. Claims
+// are attached to a lease for retention/leasesPerRetention after its grant. The TTL of
+// a lease is longer than the retention by the same amount.
+const leasesPerRetention = 8
 
-// retention hands out the lease that settled claims are attached to. Many
-// claims share one, so that leases cost next to no calls.
-type retention struct {
-	leases Leases
-	keep   time.Duration
+// leaseCache holds the lease that completed claims are attached to. Many claims share
+// one lease, so that grants cost few calls.
+type leaseCache struct {
+	leases    Leases
+	retention time.Duration
 
-	// mu guards the fields below; it is not held during I/O.
+	// mu guards the fields below and is not held during I/O.
 	mu      sync.Mutex
 	current platform.LeaseID
-	until   time.Time
+	renewAt time.Time
 }
 
-// lease returns a lease that lives at least for the retention, or 0 when there
-// is none to be had: the claim is then kept for good, which does no harm.
-func (r *retention) lease(ctx context.Context, now time.Time) platform.LeaseID {
-	if r.leases == nil {
+// get returns a lease that lives at least for the retention. It returns 0 if leases are
+// not in use or the grant fails. A claim without a lease is correct, but never expires.
+func (c *leaseCache) get(ctx context.Context, now time.Time) platform.LeaseID {
+	if c.leases == nil {
 		return 0
 	}
-	r.mu.Lock()
-	current, until := r.current, r.until
-	r.mu.Unlock()
-	if now.Before(until) {
+	c.mu.Lock()
+	current, renewAt := c.current, c.renewAt
+	c.mu.Unlock()
+	if now.Before(renewAt) {
 		return current
 	}
-	part := r.keep / retentionParts
-	granted, err := r.leases.Grant(ctx, r.keep+part)
+	part := c.retention / leasesPerRetention
+	granted, err := c.leases.Grant(ctx, c.retention+part)
 	if err != nil {
 		return 0
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.current, r.until = granted, now.Add(part)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.current, c.renewAt = granted, now.Add(part)
 	return granted
 }
 
-// forget drops a lease that has lapsed before its time.
-func (r *retention) forget(lease platform.LeaseID) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.current == lease {
-		r.until = time.Time{}
+// invalidate discards a lease that the platform no longer has.
+func (c *leaseCache) invalidate(lease platform.LeaseID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.current == lease {
+		c.renewAt = time.Time{}
 	}
 }
 
-// jitter stretches a delay by up to half, so that callers and nodes do not come
-// back all at once.
+// jitter adds up to half of the delay at random, so that callers and nodes do not retry
+// at the same time.
 func jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
--- a/node/execute/execute.go
+++ b/node/execute/execute.go
@@ -12,13 +12,14 @@
 	"github.com/carobmill/carobmill/policy/dispatch"
 )
 
-// busyRetryAfter is when to come back to a node that is full or shutting down.
+// busyRetryAfter is the retry delay reported by a node that is at its limit or shutting
+// down, and for a request that is still in flight.
 const busyRetryAfter = 500 * time.Millisecond
 
-// Stats counts since the start.
+// Stats are counters since the start of the process.
 type Stats struct {
 	Started uint64
-	// Joined counts duplicates that met the first submission at this node.
+	// Joined counts duplicates that joined a submission in flight at this node.
 	Joined uint64
 	// Repeated counts duplicates that found another node's claim.
 	Repeated         uint64
@@ -26,50 +27,50 @@
 	ClaimReads       uint64
 	ClaimWrites      uint64
 	CompletionWrites uint64
-	// UnresolvedClaims counts claims that were left PENDING.
+	// UnresolvedClaims counts claims that may have been left PENDING.
 	UnresolvedClaims uint64
 }
 
 // Executor runs non-idempotent requests. Safe for concurrent use.
 type Executor struct {
-	opts      Options
-	gate      gate
-	retention retention
-	stats     struct {
-		started, joined, repeated, unknown             atomic.Uint64
-		claimReads, claimWrites, settleWrites, unsaved atomic.Uint64
+	opts    Options
+	breaker breaker
+	leases  leaseCache
+	stats   struct {
+		started, joined, repeated, unknown                          atomic.Uint64
+		claimReads, claimWrites, completionWrites, unresolvedClaims atomic.Uint64
 	}
-	// attempts numbers the sends of this process.
+	// attempts is the number of the last send of this process.
 	attempts atomic.Uint64
 	running  sync.WaitGroup
 	closing  chan struct{}
 
-	// mu guards the fields below and run.waiters of every open run.
-	mu     sync.Mutex
-	open   int
-	keyed  map[string]*run
-	closed bool
+	// mu guards the fields below and run.waiters of all open runs.
+	mu        sync.Mutex
+	open      int
+	runsByKey map[string]*run
+	closed    bool
 }
 
-// New returns an executor. Close it to let it settle what is open.
+// New returns an executor. Close waits for its open requests and claims.
 func New(o Options) *Executor {
 	o = o.withDefaults()
 	return &Executor{
 		opts:      o,
-		retention: retention{leases: o.Leases, keep: o.Retention},
+		leases:    leaseCache{leases: o.Leases, retention: o.Retention},
 		closing:   make(chan struct{}),
-		keyed:     make(map[string]*run),
+		runsByKey: make(map[string]*run),
 	}
 }
 
-// Execute runs a request and returns by its deadline. When ctx ends before, the
-// request counts as given up by the caller; if it has been sent, it goes on.
+// Execute runs a request and returns by its deadline. If ctx ends earlier, the request
+// counts as cancelled by the caller. A request that has been sent is not stopped.
 func (x *Executor) Execute(ctx context.Context, req Request) Outcome {
 	r, err := x.newRun(req)
 	if err != nil {
 		return Outcome{Err: err}
 	}
-	o := x.run(ctx, r)
+	o := x.execute(ctx, r)
 	if o.Evidence == pb.Evidence_EVIDENCE_UNKNOWN {
 		x.stats.unknown.Add(1)
 		x.opts.Event("execute_unknown", req.Service, o.RequestID+": "+o.Reason.String())
@@ -77,8 +78,8 @@
 	return Outcome{Outcome: o, ConfigVersion: r.version}
 }
 
-func (x *Executor) run(ctx context.Context, own *run) dispatch.Outcome {
-	r, refusal := x.enter(own)
+func (x *Executor) execute(ctx context.Context, own *run) dispatch.Outcome {
+	r, refusal := x.startOrJoin(own)
 	if r == nil {
 		return refusal
 	}
@@ -88,51 +89,52 @@
 	return x.waitJoined(ctx, own, r)
 }
 
-// enter starts a run, or joins the one that holds the same key at this node.
-func (x *Executor) enter(r *run) (*run, dispatch.Outcome) {
+// startOrJoin starts a run, or joins the open run with the same key at this node. The
+// run is nil if the request is refused.
+func (x *Executor) startOrJoin(r *run) (*run, dispatch.Outcome) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	first := x.keyed[r.claimKey]
+	first := x.runsByKey[r.claimKey]
 	switch {
 	case r.claimKey != "" && first != nil:
 		return x.joinLocked(first, r)
 	case x.closed, r.version == 0:
-		return nil, refused(r, pb.Reason_REASON_UNREADY)
+		return nil, refusedOutcome(r, pb.Reason_REASON_UNREADY)
 	case x.open >= x.opts.MaxOpen:
-		return nil, refused(r, pb.Reason_REASON_OVERLOAD)
+		return nil, refusedOutcome(r, pb.Reason_REASON_OVERLOAD)
 	}
 	if r.claimKey != "" {
-		x.keyed[r.claimKey] = r
+		x.runsByKey[r.claimKey] = r
 	}
 	x.open++
 	r.waiters = 1
 	x.stats.started.Add(1)
 	x.running.Add(1)
-	go x.carry(r)
+	go x.drive(r)
 	return r, dispatch.Outcome{}
 }
 
 func (x *Executor) joinLocked(first, r *run) (*run, dispatch.Outcome) {
 	if first.digest != r.digest {
-		o := refused(r, pb.Reason_REASON_KEY_REUSED)
+		o := refusedOutcome(r, pb.Reason_REASON_KEY_REUSED)
 		o.Evidence = pb.Evidence_EVIDENCE_NOT_RUN
 		o.RetryAfter = 0
 		return nil, o
 	}
-	first.hurry()
-	if first.released() {
-		// What this node remembers is out of date once the claim may be settled as
-		// not run: another node may have taken the key over and run the request.
-		return nil, pending(first)
+	first.retryNow()
+	if first.keyReleased() {
+		// Once the claim may be completed as NOT_RUN, the outcome of this run is out of
+		// date: another node may have claimed the key and run the request.
+		return nil, pendingOutcome(first)
 	}
 	first.waiters++
 	x.stats.joined.Add(1)
 	return first, dispatch.Outcome{}
 }
 
-// refused is the answer to a request that this node does not start. With a key,
-// an earlier submission may have run elsewhere.
-func refused(r *run, reason pb.Reason) dispatch.Outcome {
+// refusedOutcome is the outcome of a request that this node does not start. With a key,
+// an earlier submission may have run at another node, so the outcome is unknown.
+func refusedOutcome(r *run, reason pb.Reason) dispatch.Outcome {
 	o := dispatch.Outcome{
 		RequestID:  r.id,
 		Evidence:   pb.Evidence_EVIDENCE_NOT_RUN,
@@ -145,41 +147,41 @@
 	return o
 }
 
-// wait returns the outcome of a run that the caller started. The run itself
-// answers at the deadline.
+// wait returns the outcome of a run that the caller started. The run finishes by its
+// deadline.
 func (x *Executor) wait(ctx context.Context, r *run) dispatch.Outcome {
 	select {
 	case <-r.answered:
-		x.leave(r)
+		x.removeWaiter(r)
 	case <-ctx.Done():
-		if !x.leave(r) {
-			return pending(r)
+		if !x.removeWaiter(r) {
+			return pendingOutcome(r)
 		}
 		<-r.answered
 	}
-	return r.known()
+	return r.currentOutcome()
 }
 
-// waitJoined returns the outcome of a run that another submission started: what
-// it learns in the end, even after its own caller has left.
+// waitJoined returns the final outcome of a run that another submission started. The
+// final outcome may arrive after that submission's caller was answered.
 func (x *Executor) waitJoined(ctx context.Context, own, r *run) dispatch.Outcome {
-	defer x.leave(r)
+	defer x.removeWaiter(r)
 	deadline := time.NewTimer(time.Until(own.deadline))
 	defer deadline.Stop()
 	select {
 	case <-r.final:
 	case <-ctx.Done():
-		return pending(r)
+		return pendingOutcome(r)
 	case <-deadline.C:
-		return pending(r)
+		return pendingOutcome(r)
 	}
-	o := r.known()
+	o := r.currentOutcome()
 	o.Repeated = true
 	return o
 }
 
-// pending is the answer to one that stops waiting while others go on.
-func pending(r *run) dispatch.Outcome {
+// pendingOutcome is the outcome for a caller that stops waiting while the run continues.
+func pendingOutcome(r *run) dispatch.Outcome {
 	return dispatch.Outcome{
 		RequestID:  r.id,
 		Evidence:   pb.Evidence_EVIDENCE_UNKNOWN,
@@ -189,32 +191,32 @@
 	}
 }
 
-// leave ends one caller's wait and reports whether it was the last. The run
-// then answers at once.
-func (x *Executor) leave(r *run) bool {
+// removeWaiter removes one waiting caller from a run and reports whether it was the
+// last. The run is then abandoned and finishes at once.
+func (x *Executor) removeWaiter(r *run) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	r.waiters--
 	if r.waiters > 0 {
 		return false
 	}
-	r.forsake()
+	r.abandon()
 	return true
 }
 
-// end forgets a run that has nothing left to do.
-func (x *Executor) end(r *run) {
+// remove removes a finished run.
+func (x *Executor) remove(r *run) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.open--
-	if x.keyed[r.claimKey] == r {
-		delete(x.keyed, r.claimKey)
+	if x.runsByKey[r.claimKey] == r {
+		delete(x.runsByKey, r.claimKey)
 	}
 }
 
-// Close refuses new requests and waits until the open ones are answered and
-// their claims settled, or until ctx ends. Claims that the platform does not
-// take within a few tries stay PENDING.
+// Close refuses new requests and waits until the open ones are answered and their claims
+// completed, or until ctx ends. A claim that cannot be completed within a few retries
+// stays PENDING.
 func (x *Executor) Close(ctx context.Context) error {
 	x.mu.Lock()
 	if !x.closed {
@@ -235,14 +237,14 @@
 	}
 }
 
-// Open returns how many requests run or still settle their claim.
+// Open returns the number of requests that run or whose claim is not yet completed.
 func (x *Executor) Open() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.open
 }
 
-// Stats returns the counts so far.
+// Stats returns the counters.
 func (x *Executor) Stats() Stats {
 	return Stats{
 		Started:          x.stats.started.Load(),
@@ -251,7 +253,7 @@
 		Unknown:          x.stats.unknown.Load(),
 		ClaimReads:       x.stats.claimReads.Load(),
 		ClaimWrites:      x.stats.claimWrites.Load(),
-		CompletionWrites: x.stats.settleWrites.Load(),
-		UnresolvedClaims: x.stats.unsaved.Load(),
+		CompletionWrites: x.stats.completionWrites.Load(),
+		UnresolvedClaims: x.stats.unresolvedClaims.Load(),
 	}
 }
--- a/node/execute/execute_test.go
+++ b/node/execute/execute_test.go
@@ -26,24 +26,23 @@
 
 var (
 	background = context.Background()
-	// refusals make every send that one request may have fail before the write.
-	refusals = slices.Repeat([]simulation.SendBehaviour{simulation.ResetBeforeWrite}, dispatch.DefaultMaxSends)
+	// allSendsReset makes all permitted sends of one request fail before the write.
+	allSendsReset = slices.Repeat([]simulation.SendBehaviour{simulation.ResetBeforeWrite}, dispatch.DefaultMaxSends)
 )
 
-// The caller sees "ran", "not run" or "unknown" for one entry fee. The
-// connection to the backend server breaks before, during or after the write, or
-// the owner's node dies. Only a break before the write lets another replica be
-// tried: after any written byte the fee may have been taken.
+// The connection to the backend server breaks before, during or after the write, or the
+// owner's node fails. The request is sent again only after a break before the write,
+// because it may have run after any written byte.
 func TestBrokenConnectionNeverRunsRequestTwice(t *testing.T) {
 	tests := map[string]struct {
-		fates    []simulation.SendBehaviour
-		evidence pb.Evidence
-		runs     int
-		sends    int
+		behaviours []simulation.SendBehaviour
+		evidence   pb.Evidence
+		runs       int
+		sends      int
 	}{
 		"before the write":                  {[]simulation.SendBehaviour{simulation.ResetBeforeWrite}, ran, 1, 2},
 		"before the write, at each replica": {[]simulation.SendBehaviour{simulation.ResetBeforeWrite, simulation.ResetBeforeWrite}, ran, 1, 3},
-		"before the write, again and again": {refusals, notRun, 0, len(refusals)},
+		"before the write, at every send":   {allSendsReset, notRun, 0, len(allSendsReset)},
 		"during the write":                  {[]simulation.SendBehaviour{simulation.ResetDuringWrite}, unknown, 0, 1},
 		"reply lost":                        {[]simulation.SendBehaviour{simulation.ReplyLost}, unknown, 1, 1},
 		"owner lost":                        {[]simulation.SendBehaviour{simulation.OwnerLost}, unknown, 1, 1},
@@ -53,328 +52,321 @@
 		for _, key := range []string{"", "key"} {
 			t.Run(name+" key "+key, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					r := newRig(t, tt.fates...)
-					o := r.a.Execute(background, fee(key))
-					r.c.Assert(o.Evidence, qt.Equals, tt.evidence)
-					r.c.Assert(o.Sent, qt.Equals, tt.evidence != notRun)
-					r.c.Assert(r.backend.Runs("fee"), qt.Equals, tt.runs)
-					r.c.Assert(r.backend.Sends(), qt.Equals, tt.sends)
-					r.close()
+					h := newHarness(t, tt.behaviours...)
+					o := h.nodeA.Execute(background, fee(key))
+					h.c.Assert(o.Evidence, qt.Equals, tt.evidence)
+					h.c.Assert(o.Sent, qt.Equals, tt.evidence != notRun)
+					h.c.Assert(h.backend.Runs("fee"), qt.Equals, tt.runs)
+					h.c.Assert(h.backend.Sends(), qt.Equals, tt.sends)
+					h.close()
 				})
 			})
 		}
 	}
 }
 
-// The caller gives up waiting for "enrolled" and repeats itself at another
-// node. The first outcome is told again, whether it ran, may have run, or did
-// not run and can go now.
+// The caller repeats a request at another node. That node returns the first outcome if
+// the request ran or may have run, and runs the request if it did not run.
 func TestRetryAtAnotherNodeReturnsFirstOutcome(t *testing.T) {
 	tests := map[string]struct {
-		fates  []simulation.SendBehaviour
-		second pb.Evidence
-		runs   int
+		behaviours []simulation.SendBehaviour
+		second     pb.Evidence
+		runs       int
 	}{
 		"ran":     {nil, ran, 1},
 		"unknown": {[]simulation.SendBehaviour{simulation.ReplyLost}, unknown, 1},
-		"not run": {refusals, ran, 1},
+		"not run": {allSendsReset, ran, 1},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRig(t, tt.fates...)
-				first := r.a.Execute(background, fee("key"))
+				h := newHarness(t, tt.behaviours...)
+				first := h.nodeA.Execute(background, fee("key"))
 				synctest.Wait()
-				second := r.b.Execute(background, fee("key"))
-				r.c.Assert(second.Evidence, qt.Equals, tt.second)
-				r.c.Assert(second.Repeated, qt.Equals, first.Evidence != notRun)
-				r.c.Assert(r.backend.Runs("fee"), qt.Equals, tt.runs)
+				second := h.nodeB.Execute(background, fee("key"))
+				h.c.Assert(second.Evidence, qt.Equals, tt.second)
+				h.c.Assert(second.Repeated, qt.Equals, first.Evidence != notRun)
+				h.c.Assert(h.backend.Runs("fee"), qt.Equals, tt.runs)
 				other := fee("key")
 				other.Body = []byte("penalty")
-				o := r.b.Execute(background, other)
-				r.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_KEY_REUSED)
-				r.c.Assert(o.Evidence, qt.Equals, notRun)
-				r.c.Assert(r.backend.Runs("penalty"), qt.Equals, 0)
-				r.close()
+				o := h.nodeB.Execute(background, other)
+				h.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_KEY_REUSED)
+				h.c.Assert(o.Evidence, qt.Equals, notRun)
+				h.c.Assert(h.backend.Runs("penalty"), qt.Equals, 0)
+				h.close()
 			})
 		})
 	}
 }
 
-// An impatient client sends the same fee eight times to two nodes at once. One
-// submission holds the claim; those at its node wait for it, those at the
-// other node are told "unknown, pending" with a time to come back.
+// A client sends the same request eight times to two nodes at once. One submission holds
+// the claim. Duplicates at its node return its outcome, and those at the other node
+// return UNKNOWN with KEY_PENDING and a retry delay.
 func TestDuplicatesOnTwoNodesRunOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.backend.Hold = make(chan struct{})
+		h := newHarness(t)
+		h.backend.Hold = make(chan struct{})
 		outcomes := make([]execute.Outcome, 8)
 		var wg sync.WaitGroup
 		for i := range outcomes {
-			node := r.a
+			node := h.nodeA
 			if i%2 == 1 {
-				node = r.b
+				node = h.nodeB
 			}
 			wg.Go(func() { outcomes[i] = node.Execute(background, fee("key")) })
 		}
 		synctest.Wait()
-		close(r.backend.Hold)
+		close(h.backend.Hold)
 		wg.Wait()
 		counts := make(map[pb.Reason]int)
 		for _, o := range outcomes {
 			counts[o.Reason]++
 			if o.Reason == pb.Reason_REASON_KEY_PENDING {
-				r.c.Assert(o.Evidence, qt.Equals, unknown)
-				r.c.Assert(o.RetryAfter > 0, qt.IsTrue)
+				h.c.Assert(o.Evidence, qt.Equals, unknown)
+				h.c.Assert(o.RetryAfter > 0, qt.IsTrue)
 			}
 		}
-		r.c.Assert(counts, qt.DeepEquals, map[pb.Reason]int{
+		h.c.Assert(counts, qt.DeepEquals, map[pb.Reason]int{
 			pb.Reason_REASON_UNSPECIFIED: 4,
 			pb.Reason_REASON_KEY_PENDING: 4,
 		})
-		r.c.Assert(r.backend.Runs("fee"), qt.Equals, 1)
-		r.close()
+		h.c.Assert(h.backend.Runs("fee"), qt.Equals, 1)
+		h.close()
 	})
 }
 
-// The platform's answer to the claim is lost, before or after the write took
-// effect. The node reads the claim back, finds whose it is and goes on; the
-// caller sees "ran" and nothing of it.
+// The platform's reply to the write of a claim is lost, and the write was either applied
+// or dropped. The node reads the claim, resolves the uncertainty and runs the request.
 func TestLostClaimReplyIsResolvedByReading(t *testing.T) {
 	for name, applied := range map[string]bool{"applied": true, "dropped": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRig(t)
-				r.platform.SetFaults(once("claim", platform.ErrAmbiguous, applied))
-				o := r.a.Execute(background, fee("key"))
-				r.c.Assert(o.Evidence, qt.Equals, ran)
-				r.c.Assert(r.backend.Runs("fee"), qt.Equals, 1)
-				r.close()
+				h := newHarness(t)
+				h.platform.SetFaults(failOnce("claim", platform.ErrAmbiguous, applied))
+				o := h.nodeA.Execute(background, fee("key"))
+				h.c.Assert(o.Evidence, qt.Equals, ran)
+				h.c.Assert(h.backend.Runs("fee"), qt.Equals, 1)
+				h.close()
 			})
 		})
 	}
 }
 
-// The platform is down when a keyed fee arrives. It is answered at once, not
-// sent, with a time to come back, and as "unknown": an earlier submission with
-// the key may have run. A fee without a key needs no platform and runs.
+// While the platform is unavailable, a request with a key is not sent and is answered at
+// once with a retry delay. Its evidence is UNKNOWN, because an earlier submission with
+// the key may have run. A request without a key runs.
 func TestUnavailablePlatformRefusesKeyedRequestsOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.platform.SetFaults(always(platform.ErrUnavailable))
+		h := newHarness(t)
+		h.platform.SetFaults(alwaysFail(platform.ErrUnavailable))
 		began := time.Now()
-		o := r.a.Execute(background, fee("key"))
-		r.c.Assert(time.Since(began), qt.Equals, time.Duration(0))
-		r.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_PLATFORM)
-		r.c.Assert(o.Evidence, qt.Equals, unknown)
-		r.c.Assert(o.Sent, qt.IsFalse)
-		r.c.Assert(o.RetryAfter >= time.Second, qt.IsTrue)
-		r.c.Assert(r.backend.Sends(), qt.Equals, 0)
-		r.c.Assert(r.a.Execute(background, fee("")).Evidence, qt.Equals, ran)
-		r.close()
+		o := h.nodeA.Execute(background, fee("key"))
+		h.c.Assert(time.Since(began), qt.Equals, time.Duration(0))
+		h.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_PLATFORM)
+		h.c.Assert(o.Evidence, qt.Equals, unknown)
+		h.c.Assert(o.Sent, qt.IsFalse)
+		h.c.Assert(o.RetryAfter >= time.Second, qt.IsTrue)
+		h.c.Assert(h.backend.Sends(), qt.Equals, 0)
+		h.c.Assert(h.nodeA.Execute(background, fee("")).Evidence, qt.Equals, ran)
+		h.close()
 	})
 }
 
-// The platform hangs instead of failing. The first keyed requests wait for the
-// claim's timeout; then the node stops waiting and refuses at once, letting one
-// request a second try.
+// The platform does not answer. The first requests with a key wait for the claim
+// timeout. Then the circuit breaker opens and later requests are refused at once.
 func TestUnresponsivePlatformDelaysOnlyFirstRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.platform.SetFaults(func(ctx context.Context, _ string) (bool, error) {
+		h := newHarness(t)
+		h.platform.SetFaults(func(ctx context.Context, _ string) (bool, error) {
 			<-ctx.Done()
 			return false, platform.ErrAmbiguous
 		})
 		for _, key := range []string{"k", "l"} {
-			r.c.Assert(r.a.Execute(background, fee(key)).Reason, qt.Equals, pb.Reason_REASON_PLATFORM)
+			h.c.Assert(h.nodeA.Execute(background, fee(key)).Reason, qt.Equals, pb.Reason_REASON_PLATFORM)
 		}
 		began := time.Now()
-		o := r.a.Execute(background, fee("another"))
-		r.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_PLATFORM)
-		r.c.Assert(time.Since(began), qt.Equals, time.Duration(0))
-		r.platform.SetFaults(nil)
+		o := h.nodeA.Execute(background, fee("another"))
+		h.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_PLATFORM)
+		h.c.Assert(time.Since(began), qt.Equals, time.Duration(0))
+		h.platform.SetFaults(nil)
 		time.Sleep(time.Minute)
-		r.c.Assert(r.a.Execute(background, fee("k")).Evidence, qt.Equals, ran)
-		r.close()
+		h.c.Assert(h.nodeA.Execute(background, fee("k")).Evidence, qt.Equals, ran)
+		h.close()
 	})
 }
 
-// The platform goes down after the claim. The caller has "ran" at once. Its
-// retry at another node is "unknown, pending" as long as the outage lasts, and
-// gets the first outcome once the claim could be settled.
+// The platform becomes unavailable after the claim. The caller receives RAN at once. A
+// retry at another node returns KEY_PENDING during the outage, and the first outcome
+// after the claim is completed.
 func TestClaimIsCompletedAfterPlatformOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.platform.SetFaults(noSettles)
-		r.c.Assert(r.a.Execute(background, fee("key")).Evidence, qt.Equals, ran)
-		o := r.b.Execute(background, fee("key"))
-		r.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_KEY_PENDING)
-		r.platform.SetFaults(nil)
+		h := newHarness(t)
+		h.platform.SetFaults(failCompletions)
+		h.c.Assert(h.nodeA.Execute(background, fee("key")).Evidence, qt.Equals, ran)
+		o := h.nodeB.Execute(background, fee("key"))
+		h.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_KEY_PENDING)
+		h.platform.SetFaults(nil)
 		time.Sleep(time.Minute)
-		o = r.b.Execute(background, fee("key"))
-		r.c.Assert(o.Evidence, qt.Equals, ran)
-		r.c.Assert(string(o.Result), qt.Equals, "receipt")
-		r.c.Assert(r.backend.Runs("fee"), qt.Equals, 1)
-		r.close()
+		o = h.nodeB.Execute(background, fee("key"))
+		h.c.Assert(o.Evidence, qt.Equals, ran)
+		h.c.Assert(string(o.Result), qt.Equals, "receipt")
+		h.c.Assert(h.backend.Runs("fee"), qt.Equals, 1)
+		h.close()
 	})
 }
 
-// A fee is refused at one node, and the answer to settling its claim as "not run"
-// is lost. The caller repeats it at another node, where it runs, and then at the
-// first one again, which still has the old refusal in memory and must not tell it.
+// A request does not run at one node, and the reply to completing its claim as NOT_RUN
+// is lost. The request then runs at another node. The first node still holds the outdated
+// NOT_RUN outcome in memory and must not return it.
 func TestCachedRefusalIsNotReturnedAfterKeyRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, refusals...)
-		r.platform.SetFaults(once("settle", platform.ErrAmbiguous, true))
-		r.c.Assert(r.a.Execute(background, fee("key")).Evidence, qt.Equals, notRun)
+		h := newHarness(t, allSendsReset...)
+		h.platform.SetFaults(failOnce("complete", platform.ErrAmbiguous, true))
+		h.c.Assert(h.nodeA.Execute(background, fee("key")).Evidence, qt.Equals, notRun)
 		synctest.Wait()
-		r.c.Assert(r.b.Execute(background, fee("key")).Evidence, qt.Equals, ran)
-		o := r.a.Execute(background, fee("key"))
-		r.c.Assert(o.Evidence, qt.Equals, unknown)
-		r.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_KEY_PENDING)
+		h.c.Assert(h.nodeB.Execute(background, fee("key")).Evidence, qt.Equals, ran)
+		o := h.nodeA.Execute(background, fee("key"))
+		h.c.Assert(o.Evidence, qt.Equals, unknown)
+		h.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_KEY_PENDING)
 		time.Sleep(o.RetryAfter)
-		r.c.Assert(r.a.Execute(background, fee("key")).Evidence, qt.Equals, ran)
-		r.c.Assert(r.backend.Runs("fee"), qt.Equals, 1)
-		r.close()
+		h.c.Assert(h.nodeA.Execute(background, fee("key")).Evidence, qt.Equals, ran)
+		h.c.Assert(h.backend.Runs("fee"), qt.Equals, 1)
+		h.close()
 	})
 }
 
-// The backend server takes longer than the caller waits. The caller is told
-// "unknown" at its deadline; the reply that comes later settles the claim, so
-// that a retry learns that the fee was taken.
+// The backend server replies after the caller's deadline. The caller receives UNKNOWN at
+// its deadline. The late reply completes the claim, so that a retry returns RAN.
 func TestReplyAfterDeadlineCompletesClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t, simulation.SlowRun)
+		h := newHarness(t, simulation.SlowRun)
 		began := time.Now()
-		o := r.a.Execute(background, fee("key"))
-		r.c.Assert(time.Since(began), qt.Equals, 5*time.Second)
-		r.c.Assert(o.Evidence, qt.Equals, unknown)
-		r.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_DEADLINE)
-		r.c.Assert(r.b.Execute(background, fee("key")).Reason, qt.Equals, pb.Reason_REASON_KEY_PENDING)
+		o := h.nodeA.Execute(background, fee("key"))
+		h.c.Assert(time.Since(began), qt.Equals, 5*time.Second)
+		h.c.Assert(o.Evidence, qt.Equals, unknown)
+		h.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_DEADLINE)
+		h.c.Assert(h.nodeB.Execute(background, fee("key")).Reason, qt.Equals, pb.Reason_REASON_KEY_PENDING)
 		time.Sleep(simulation.SlowRunDuration)
-		r.c.Assert(r.b.Execute(background, fee("key")).Evidence, qt.Equals, ran)
-		r.c.Assert(r.backend.Runs("fee"), qt.Equals, 1)
-		r.close()
+		h.c.Assert(h.nodeB.Execute(background, fee("key")).Evidence, qt.Equals, ran)
+		h.c.Assert(h.backend.Runs("fee"), qt.Equals, 1)
+		h.close()
 	})
 }
 
-// The node is paused while the platform answers its claim, past the caller's
-// deadline. On waking it sends nothing and settles the claim as not run, so the
-// caller's next try goes through; until then the claim keeps others out,
-// however long the pause, for a paused holder might still send.
+// The reply to a claim arrives long after the caller's deadline. The holder of the claim
+// then sends nothing and completes the claim as NOT_RUN, so that a retry runs. Until then
+// the claim stays pending, because the holder might still send the request.
 func TestPausedClaimHolderDoesNotSendAfterDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
+		h := newHarness(t)
 		const pause = time.Hour
-		r.platform.PauseNextClaim(pause)
+		h.platform.PauseNextClaim(pause)
 		began := time.Now()
-		o := r.a.Execute(background, fee("key"))
-		r.c.Assert(time.Since(began), qt.Equals, 5*time.Second)
-		r.c.Assert(o.Sent, qt.IsFalse)
+		o := h.nodeA.Execute(background, fee("key"))
+		h.c.Assert(time.Since(began), qt.Equals, 5*time.Second)
+		h.c.Assert(o.Sent, qt.IsFalse)
 		time.Sleep(pause / 2)
-		r.c.Assert(r.b.Execute(background, fee("key")).Reason, qt.Equals, pb.Reason_REASON_KEY_PENDING)
+		h.c.Assert(h.nodeB.Execute(background, fee("key")).Reason, qt.Equals, pb.Reason_REASON_KEY_PENDING)
 		time.Sleep(pause)
-		r.c.Assert(r.backend.Sends(), qt.Equals, 0)
-		r.c.Assert(r.b.Execute(background, fee("key")).Evidence, qt.Equals, ran)
-		r.c.Assert(r.backend.Runs("fee"), qt.Equals, 1)
-		r.close()
+		h.c.Assert(h.backend.Sends(), qt.Equals, 0)
+		h.c.Assert(h.nodeB.Execute(background, fee("key")).Evidence, qt.Equals, ran)
+		h.c.Assert(h.backend.Runs("fee"), qt.Equals, 1)
+		h.close()
 	})
 }
 
-// A node shuts down with a fee in flight. The fee is answered and its claim
-// settled before Close returns; what comes later is refused as unready.
+// Close waits until a request in flight is answered and its claim completed. Later
+// requests are refused with UNREADY.
 func TestCloseWaitsForRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.backend.Hold = make(chan struct{})
+		h := newHarness(t)
+		h.backend.Hold = make(chan struct{})
 		answer := make(chan execute.Outcome, 1)
-		go func() { answer <- r.a.Execute(background, fee("key")) }()
+		go func() { answer <- h.nodeA.Execute(background, fee("key")) }()
 		synctest.Wait()
 		closed := make(chan error, 1)
-		go func() { closed <- r.a.Close(background) }()
+		go func() { closed <- h.nodeA.Close(background) }()
 		synctest.Wait()
-		o := r.a.Execute(background, fee(""))
-		r.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_UNREADY)
-		r.c.Assert(o.Evidence, qt.Equals, notRun)
-		r.c.Assert(len(closed), qt.Equals, 0)
-		close(r.backend.Hold)
-		r.c.Assert((<-answer).Evidence, qt.Equals, ran)
-		r.c.Assert(<-closed, qt.IsNil)
-		r.c.Assert(r.b.Execute(background, fee("key")).Repeated, qt.IsTrue)
-		r.c.Assert(r.backend.Runs("fee"), qt.Equals, 1)
-		r.close()
+		o := h.nodeA.Execute(background, fee(""))
+		h.c.Assert(o.Reason, qt.Equals, pb.Reason_REASON_UNREADY)
+		h.c.Assert(o.Evidence, qt.Equals, notRun)
+		h.c.Assert(len(closed), qt.Equals, 0)
+		close(h.backend.Hold)
+		h.c.Assert((<-answer).Evidence, qt.Equals, ran)
+		h.c.Assert(<-closed, qt.IsNil)
+		h.c.Assert(h.nodeB.Execute(background, fee("key")).Repeated, qt.IsTrue)
+		h.c.Assert(h.backend.Runs("fee"), qt.Equals, 1)
+		h.close()
 	})
 }
 
-// A shutdown during an outage of the platform must end: the claim stays
-// PENDING, which is honest, and operators are told.
+// Close returns while the platform is unavailable. The claim stays PENDING and is counted
+// as unresolved.
 func TestCloseDoesNotWaitForUnavailablePlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.platform.SetFaults(noSettles)
-		r.c.Assert(r.a.Execute(background, fee("key")).Evidence, qt.Equals, ran)
+		h := newHarness(t)
+		h.platform.SetFaults(failCompletions)
+		h.c.Assert(h.nodeA.Execute(background, fee("key")).Evidence, qt.Equals, ran)
 		began := time.Now()
-		r.c.Assert(r.a.Close(background), qt.IsNil)
-		r.c.Assert(time.Since(began) < 2*time.Second, qt.IsTrue)
-		r.c.Assert(r.a.Stats().UnresolvedClaims, qt.Equals, uint64(1))
-		r.c.Assert(r.b.Execute(background, fee("key")).Reason, qt.Equals, pb.Reason_REASON_KEY_PENDING)
+		h.c.Assert(h.nodeA.Close(background), qt.IsNil)
+		h.c.Assert(time.Since(began) < 2*time.Second, qt.IsTrue)
+		h.c.Assert(h.nodeA.Stats().UnresolvedClaims, qt.Equals, uint64(1))
+		h.c.Assert(h.nodeB.Execute(background, fee("key")).Reason, qt.Equals, pb.Reason_REASON_KEY_PENDING)
 	})
 }
 
-// Claims would fill the platform's service for good. A settled one is attached
-// to a lease that many share; a pending one is not, because its lapse would let
-// the key run a second time.
+// Completed claims share a lease, so that they don't fill the platform's store. Pending
+// claims have no lease: if one expired, its request could run a second time.
 func TestOnlyCompletedClaimsExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.backend.Hold = make(chan struct{})
-		go r.a.Execute(background, fee("one"))
+		h := newHarness(t)
+		h.backend.Hold = make(chan struct{})
+		go h.nodeA.Execute(background, fee("one"))
 		synctest.Wait()
-		r.c.Assert(r.platform.Leased(), qt.Equals, 0)
-		close(r.backend.Hold)
+		h.c.Assert(h.platform.Leased(), qt.Equals, 0)
+		close(h.backend.Hold)
 		synctest.Wait()
-		r.a.Execute(background, fee("two"))
+		h.nodeA.Execute(background, fee("two"))
 		synctest.Wait()
-		r.c.Assert(r.platform.Leased(), qt.Equals, 2)
-		r.c.Assert(r.platform.Grants(), qt.Equals, 1)
-		r.close()
+		h.c.Assert(h.platform.Leased(), qt.Equals, 2)
+		h.c.Assert(h.platform.Grants(), qt.Equals, 1)
+		h.close()
 	})
 }
 
-// Claims cost the platform writes, which are its scarcest rate. A keyed request
-// without faults costs two and no read; docs/design/non-idempotent-requests.md
-// works out from this how many the fleet can take.
+// A request with a key costs the platform two writes and no read if nothing fails.
+// docs/design/non-idempotent-requests.md derives the fleet's maximum rate from this.
 func TestKeyedRequestCostsTwoWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
+		h := newHarness(t)
 		const requests = 50
 		for i := range requests {
-			o := r.a.Execute(background, fee(fmt.Sprint(i)))
-			r.c.Assert(o.Evidence, qt.Equals, ran)
+			o := h.nodeA.Execute(background, fee(fmt.Sprint(i)))
+			h.c.Assert(o.Evidence, qt.Equals, ran)
 		}
 		synctest.Wait()
-		s := r.a.Stats()
-		r.c.Assert(s.ClaimWrites, qt.Equals, uint64(requests))
-		r.c.Assert(s.CompletionWrites, qt.Equals, uint64(requests))
-		r.c.Assert(s.ClaimReads, qt.Equals, uint64(0))
-		r.c.Assert(r.platform.Grants(), qt.Equals, 1)
-		bytes := r.platform.Bytes()
-		r.c.Assert(bytes/requests < 300, qt.IsTrue, qt.Commentf("%d bytes a settled claim", bytes/requests))
-		t.Logf("%d bytes a settled claim with its key and a result of 7 bytes", bytes/requests)
-		r.close()
+		s := h.nodeA.Stats()
+		h.c.Assert(s.ClaimWrites, qt.Equals, uint64(requests))
+		h.c.Assert(s.CompletionWrites, qt.Equals, uint64(requests))
+		h.c.Assert(s.ClaimReads, qt.Equals, uint64(0))
+		h.c.Assert(h.platform.Grants(), qt.Equals, 1)
+		bytes := h.platform.Bytes()
+		h.c.Assert(bytes/requests < 300, qt.IsTrue, qt.Commentf("%d bytes per completed claim", bytes/requests))
+		t.Logf("%d bytes per completed claim with its key and a result of 7 bytes", bytes/requests)
+		h.close()
 	})
 }
 
-// noSettles has the platform go down after the claim.
-func noSettles(_ context.Context, op string) (bool, error) {
-	if op == "settle" {
+// failCompletions fails the completion of claims.
+func failCompletions(_ context.Context, op string) (bool, error) {
+	if op == "complete" {
 		return false, platform.ErrUnavailable
 	}
 	return false, nil
 }
 
-// once fails the first call of an operation.
-func once(op string, err error, applied bool) simulation.FaultFunc {
+// failOnce fails the first call of an operation.
+func failOnce(op string, err error, applied bool) simulation.FaultFunc {
 	var done bool
 	return func(_ context.Context, called string) (bool, error) {
 		if done || called != op {
@@ -385,6 +377,6 @@
 	}
 }
 
-func always(err error) simulation.FaultFunc {
+func alwaysFail(err error) simulation.FaultFunc {
 	return func(context.Context, string) (bool, error) { return false, err }
 }
--- a/node/execute/rig_test.go
+++ b/node/execute/harness_test.go
@@ -12,39 +12,40 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
-// rig is two nodes over one platform and one backend service.
-type rig struct {
-	c        *qt.C
-	platform *simulation.Platform
-	backend  *simulation.Backend
-	index    func() *config.Index
-	a, b     *execute.Executor
+// harness holds two nodes that share one platform and one backend service.
+type harness struct {
+	c            *qt.C
+	platform     *simulation.Platform
+	backend      *simulation.Backend
+	index        func() *config.Index
+	nodeA, nodeB *execute.Executor
 }
 
-func newRig(t *testing.T, fates ...simulation.SendBehaviour) *rig {
+func newHarness(t *testing.T, behaviours ...simulation.SendBehaviour) *harness {
 	index, err := simulation.Index()
 	qt.Assert(t, err, qt.IsNil)
-	r := &rig{
+	h := &harness{
 		c:        qt.New(t),
 		platform: simulation.NewPlatform(),
-		backend:  simulation.NewBackend(fates...),
+		backend:  simulation.NewBackend(behaviours...),
 	}
-	r.index = func() *config.Index { return index }
+	h.index = func() *config.Index { return index }
 	node := func() *execute.Executor {
 		return execute.New(execute.Options{
 			Fleet:  "test",
-			Index:  r.index,
-			Sender: r.backend,
-			Claims: r.platform,
-			Leases: r.platform,
+			Index:  h.index,
+			Sender: h.backend,
+			Claims: h.platform,
+			Leases: h.platform,
 			Picker: simulation.FirstPicker{},
 		})
 	}
-	r.a, r.b = node(), node()
-	return r
+	h.nodeA, h.nodeB = node(), node()
+	return h
 }
 
-// fee is a request to pay one entry fee, with a key unless it is empty.
+// fee returns a request to pay one entry fee. An empty key makes it a request without an
+// idempotency key.
 func fee(key string) execute.Request {
 	return execute.Request{
 		Service:        "desk",
@@ -55,10 +56,10 @@
 	}
 }
 
-func (r *rig) close() {
-	r.c.Helper()
+func (h *harness) close() {
+	h.c.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	r.c.Assert(r.a.Close(ctx), qt.IsNil)
-	r.c.Assert(r.b.Close(ctx), qt.IsNil)
+	h.c.Assert(h.nodeA.Close(ctx), qt.IsNil)
+	h.c.Assert(h.nodeB.Close(ctx), qt.IsNil)
 }
--- a/node/execute/options.go
+++ b/node/execute/options.go
@@ -15,18 +15,19 @@
 )
 
 const (
-	// DefaultMaxOpen bounds the requests that run or still settle their claim.
+	// DefaultMaxOpen bounds the requests that run or whose claim is not yet completed.
 	DefaultMaxOpen = 4096
-	// DefaultRetention is how long a settled claim, and with it a caller's key,
-	// is remembered at least.
+	// DefaultRetention is the minimum time that a completed claim is kept. A duplicate
+	// within this time does not run again.
 	DefaultRetention = 7 * 24 * time.Hour
-	// DefaultClaimTimeout bounds one call to the platform for a claim.
+	// DefaultClaimTimeout bounds one read or write of a claim.
 	DefaultClaimTimeout = time.Second
 )
 
-// Sender sends a request to a replica through one of its owners: over one
-// connection, once, whatever happens. The response's evidence is UNKNOWN unless
-// the sender knows better. It returns when ctx ends at the latest.
+// Sender sends a request to a replica through one of its owners. It sends the request
+// at most once, over one connection, and never retries. The response's evidence is
+// UNKNOWN unless the sender has proof that the request ran or did not run. Execute
+// returns when ctx ends at the latest.
 type Sender interface {
 	Execute(ctx context.Context, replica *config.Replica, req *pb.ExecuteRequest) *pb.ExecuteResponse
 }
@@ -37,34 +38,34 @@
 	CompareAndSwap(ctx context.Context, key string, revision uint64, value []byte) (uint64, error)
 }
 
-// Leases let settled claims vanish after the retention.
+// Leases let completed claims expire after the retention.
 type Leases interface {
 	Grant(ctx context.Context, ttl time.Duration) (platform.LeaseID, error)
 	CompareAndSwapLeased(ctx context.Context, key string, revision uint64, value []byte, lease platform.LeaseID) (uint64, error)
 }
 
-// Picker chooses a replica of a shard for which excluded is false, or nil when
-// none can take the request now.
+// Picker chooses a replica of a shard for which excluded is false. Pick returns nil if
+// no such replica can accept the request now.
 type Picker interface {
 	Pick(shard *config.Shard, excluded func(*config.Replica) bool) *config.Replica
 }
 
-// Options of an Executor. Sender, Claims, Picker and Index are needed.
+// Options of an Executor. Sender, Claims, Picker and Index are required.
 type Options struct {
 	Fleet  string
 	Index  func() *config.Index
 	Sender Sender
 	Claims Claims
 	Picker Picker
-	// Leases may be nil: settled claims are then kept for good.
+	// Leases may be nil. Completed claims then never expire.
 	Leases Leases
 	Log    logrus.FieldLogger
-	// Event records a decision for operators; nil drops it.
+	// Event records a decision for operators. If it is nil, decisions are discarded.
 	Event func(kind, subject, detail string)
-	// NewID returns ids that are unique across nodes and restarts.
+	// NewID returns an id that is unique across nodes and restarts.
 	NewID func() string
 
-	// The numbers take their defaults when 0.
+	// The fields below take their defaults if 0.
 	MaxOpen           int
 	MaxSends          int
 	MaxResultBytes    int
@@ -97,7 +98,7 @@
 	return o
 }
 
-// Errors of requests that name something unknown; nothing was run.
+// Errors of requests with an unknown name. The request did not run.
 var (
 	ErrUnknownService = errors.New("unknown service")
 	ErrUnknownClass   = errors.New("unknown class")
@@ -108,23 +109,23 @@
 type Request struct {
 	Service string
 	Class   string
-	// Shard names the shard; when it is empty, Key chooses one.
+	// Shard is the name of the shard. If it is empty, the shard is chosen by Key.
 	Shard string
 	Key   string
-	// IdempotencyKey is empty when the caller gave none.
+	// IdempotencyKey is empty if the caller sent none.
 	IdempotencyKey string
 	Body           []byte
-	// Deadline is the time allowed; 0 takes the service's default, and more than
-	// its maximum is cut to that. Nothing is sent after it, and the caller has its
-	// answer by then.
+	// Deadline is relative to the call of Execute. 0 selects the service's default, and
+	// larger values are reduced to the service's maximum. Nothing is sent after it, and
+	// the caller is answered by then.
 	Deadline time.Duration
 }
 
-// Outcome is what the caller is told.
+// Outcome is the result that the caller receives.
 type Outcome struct {
 	dispatch.Outcome
-	// ConfigVersion is the configuration that the request started under.
+	// ConfigVersion is the version of the configuration at the start of the request.
 	ConfigVersion uint64
-	// Err is set instead of an outcome when the request names something unknown.
+	// Err is set instead of an outcome if the request contains an unknown name.
 	Err error
 }
--- a/node/execute/report.go
+++ b/node/execute/report.go
@@ -1,6 +1,6 @@
 package execute
 
-// Report gives the counts and the open requests to a metrics source.
+// Report passes the counters and the number of open requests to set.
 func (x *Executor) Report(set func(name string, value float64)) {
 	s := x.Stats()
 	for name, value := range map[string]uint64{
--- a/node/execute/run.go
+++ b/node/execute/run.go
@@ -12,48 +12,48 @@
 )
 
 const (
-	// closingTries bounds how often a run asks the platform once the node closes,
-	// closingDelay is the wait in between.
-	closingTries = 3
-	closingDelay = 100 * time.Millisecond
+	// maxClosingRetries bounds the retries of claim reads and writes during shutdown.
+	// closingRetryDelay is the delay between them.
+	maxClosingRetries = 3
+	closingRetryDelay = 100 * time.Millisecond
 )
 
-// run is one request from its start until its claim is settled.
+// run is one request from its start until its claim is completed.
 type run struct {
 	req Request
 	id  string
-	// claimKey is the claim's key in the platform's service; empty without an
-	// idempotency key.
+	// claimKey is the claim's key in the platform's key-value service. It is empty for a
+	// request without an idempotency key.
 	claimKey string
 	digest   string
 	deadline time.Time
-	// version is the configuration at the start, 0 for none.
+	// version is the version of the configuration at the start, or 0 if there is none.
 	version uint64
 
-	// waiters counts the callers; guarded by Executor.mu.
+	// waiters is the number of waiting callers, guarded by Executor.mu.
 	waiters int
-	// forsaken is closed when the last caller has left.
-	forsaken chan struct{}
-	// answered is closed when there is an outcome, final when there will be no
-	// better one.
+	// abandoned is closed when the last caller stops waiting.
+	abandoned chan struct{}
+	// answered is closed when there is an outcome, and final when the outcome can no
+	// longer improve.
 	answered, final chan struct{}
-	// nudge cuts a wait between two tries at the platform short.
-	nudge chan struct{}
+	// wake ends the delay before a retry of a claim read or write.
+	wake chan struct{}
 
 	// mu guards outcome.
 	mu      sync.Mutex
 	outcome dispatch.Outcome
 }
 
-// newRun checks what a request names and works out its deadline.
+// newRun validates the names in a request and computes its deadline.
 func (x *Executor) newRun(req Request) (*run, error) {
 	r := &run{
-		req:      req,
-		id:       x.opts.NewID(),
-		forsaken: make(chan struct{}),
-		answered: make(chan struct{}),
-		final:    make(chan struct{}),
-		nudge:    make(chan struct{}, 1),
+		req:       req,
+		id:        x.opts.NewID(),
+		abandoned: make(chan struct{}),
+		answered:  make(chan struct{}),
+		final:     make(chan struct{}),
+		wake:      make(chan struct{}, 1),
 	}
 	if req.IdempotencyKey != "" {
 		r.claimKey = dispatch.ClaimKey(x.opts.Fleet, req.Service, req.IdempotencyKey)
@@ -81,44 +81,43 @@
 	return r, nil
 }
 
-// known returns the best outcome so far; answered must be closed.
-func (r *run) known() dispatch.Outcome {
+// currentOutcome returns the best outcome so far. The channel answered must be closed.
+func (r *run) currentOutcome() dispatch.Outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.outcome
 }
 
-// released reports whether the key may by now belong to another submission.
-func (r *run) released() bool {
+// keyReleased reports whether another submission may have claimed the key.
+func (r *run) keyReleased() bool {
 	select {
 	case <-r.final:
-		return r.known().Evidence == pb.Evidence_EVIDENCE_NOT_RUN
+		return r.currentOutcome().Evidence == pb.Evidence_EVIDENCE_NOT_RUN
 	default:
 		return false
 	}
 }
 
-func (r *run) set(o dispatch.Outcome) {
+func (r *run) setOutcome(o dispatch.Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.outcome = o
 }
 
-// forsake may be called once for each time that waiters drops to 0, which
-// happens again when a duplicate joins a run that goes on. Called with
-// Executor.mu held.
-func (r *run) forsake() {
-	closeOnce(r.forsaken)
+// abandon marks that no caller waits for the run. It may be called repeatedly, because a
+// duplicate can join an abandoned run and stop waiting too. Executor.mu must be held.
+func (r *run) abandon() {
+	closeOnce(r.abandoned)
 }
 
-func (r *run) hurry() {
+func (r *run) retryNow() {
 	select {
-	case r.nudge <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// closeOnce closes a channel whose closers exclude each other.
+// closeOnce closes a channel if it is open. Calls for one channel must not be concurrent.
 func closeOnce(c chan struct{}) {
 	select {
 	case <-c:
@@ -127,10 +126,10 @@
 	}
 }
 
-// carry drives the machine of a run until nothing is left to do.
-func (x *Executor) carry(r *run) {
+// drive runs the state machine of a request until no action is outstanding.
+func (x *Executor) drive(r *run) {
 	defer x.running.Done()
-	defer x.end(r)
+	defer x.remove(r)
 	m := dispatch.New(dispatch.Params{
 		RequestID:         r.id,
 		Keyed:             r.claimKey != "",
@@ -145,46 +144,47 @@
 	d.drive()
 }
 
-// driver is the loop of one run; its fields belong to the loop's goroutine.
+// driver runs the event loop of one request. Its fields belong to the loop's goroutine,
+// except closingRetries, which the outstanding action changes before it sends its event.
 type driver struct {
 	x       *Executor
 	run     *run
 	machine *dispatch.Machine
 	events  chan dispatch.Event
-	// outstanding is the action that an event will answer; nil for none.
+	// outstanding is the action whose event has not arrived, or nil.
 	outstanding dispatch.Action
 	finished    bool
-	// closedTries counts the waits that the closing node cut short.
-	closedTries int
+	// closingRetries is the number of retry delays shortened by the shutdown.
+	closingRetries int
 }
 
 func (d *driver) drive() {
 	deadline := time.NewTimer(time.Until(d.run.deadline))
 	defer deadline.Stop()
-	expired, forsaken := deadline.C, d.run.forsaken
+	expired, abandoned := deadline.C, d.run.abandoned
 	d.apply(d.machine.Start(time.Now()))
 	for d.outstanding != nil {
 		var e dispatch.Event
 		select {
 		case e = <-d.events:
 			d.outstanding = nil
-			if d.closedTries > closingTries {
-				// The node must not outlive its shutdown for a platform that is away.
+			if d.closingRetries > maxClosingRetries {
+				// Without this limit, an unavailable platform would block the shutdown.
 				closeOnce(d.run.final)
-				d.noteUnsettled()
+				d.reportUnresolved()
 				return
 			}
 		case <-expired:
 			expired = nil
 			e = dispatch.Cancelled{Reason: pb.Reason_REASON_DEADLINE}
-		case <-forsaken:
-			forsaken = nil
+		case <-abandoned:
+			abandoned = nil
 			e = dispatch.Cancelled{Reason: pb.Reason_REASON_CANCELLED}
 		}
 		d.apply(d.machine.Step(time.Now(), e))
 	}
 	closeOnce(d.run.final)
-	d.noteUnsettled()
+	d.reportUnresolved()
 }
 
 func (d *driver) apply(actions []dispatch.Action) {
@@ -193,10 +193,10 @@
 		case dispatch.Finish:
 			d.finish(a.Outcome)
 		case dispatch.Revise:
-			d.run.set(a.Outcome)
+			d.run.setOutcome(a.Outcome)
 		default:
 			d.outstanding = a
-			// Final before a settle begins: see released.
+			// The outcome must be final before the claim is completed: see keyReleased.
 			d.closeIfFinal()
 			go func() { d.events <- d.perform(a) }()
 		}
@@ -205,7 +205,7 @@
 }
 
 func (d *driver) closeIfFinal() {
-	if d.finished && !d.mayLearn() {
+	if d.finished && !d.mayImprove() {
 		closeOnce(d.run.final)
 	}
 }
@@ -215,13 +215,13 @@
 		d.x.stats.repeated.Add(1)
 	}
 	o.RetryAfter = jitter(o.RetryAfter)
-	d.run.set(o)
+	d.run.setOutcome(o)
 	d.finished = true
 	close(d.run.answered)
 }
 
-// mayLearn reports that the outstanding action can still better the outcome.
-func (d *driver) mayLearn() bool {
+// mayImprove reports whether the outstanding action can still improve the outcome.
+func (d *driver) mayImprove() bool {
 	switch d.outstanding.(type) {
 	case dispatch.Send, dispatch.Claim, dispatch.Pick:
 		return true
@@ -229,30 +229,29 @@
 	return false
 }
 
-// noteUnsettled tells operators about a claim that may stand as PENDING for
-// good.
-func (d *driver) noteUnsettled() {
+// reportUnresolved logs and counts a claim that may stay PENDING forever.
+func (d *driver) reportUnresolved() {
 	if d.machine.ClaimResolved() {
 		return
 	}
-	d.x.stats.unsaved.Add(1)
+	d.x.stats.unresolvedClaims.Add(1)
 	d.x.opts.Event("claim_unsettled", d.run.req.Service, d.run.id+": "+d.run.claimKey)
 	d.x.opts.Log.WithField("request", d.run.id).WithField("claim", d.run.claimKey).
-		Warn("claim may stay pending: the platform did not take its outcome in time")
+		Warn("claim may stay pending: its outcome was not stored at the platform in time")
 }
 
-// perform carries out one action and returns the event that answers it.
+// perform performs one action and returns its event.
 func (d *driver) perform(a dispatch.Action) dispatch.Event {
 	ctx := context.Background()
 	switch a := a.(type) {
 	case dispatch.Claim:
-		return d.x.claim(ctx, d.run, a)
+		return d.x.writeClaim(ctx, d.run, a)
 	case dispatch.ReadClaim:
-		d.pause(a.Delay)
+		d.waitForRetry(a.Delay)
 		return d.x.readClaim(ctx, d.run)
 	case dispatch.CompleteClaim:
-		d.pause(a.Delay)
-		return d.x.settle(ctx, d.run, a)
+		d.waitForRetry(a.Delay)
+		return d.x.completeClaim(ctx, d.run, a)
 	case dispatch.Pick:
 		time.Sleep(jitter(a.Delay))
 		return d.x.pick(d.run, a)
@@ -262,24 +261,25 @@
 	return nil
 }
 
-// pause waits between two tries at the platform. A node that closes does not
-// wait.
-func (d *driver) pause(delay time.Duration) {
+// waitForRetry waits before a retry of a claim read or write. The delay ends early if a
+// duplicate joins or the executor closes. During shutdown, the delay is at most
+// closingRetryDelay.
+func (d *driver) waitForRetry(delay time.Duration) {
 	if delay == 0 {
 		return
 	}
-	if d.closedTries > 0 {
-		delay = min(delay, closingDelay)
+	if d.closingRetries > 0 {
+		delay = min(delay, closingRetryDelay)
 		time.Sleep(delay)
-		d.closedTries++
+		d.closingRetries++
 		return
 	}
 	timer := time.NewTimer(jitter(delay))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-d.run.nudge:
+	case <-d.run.wake:
 	case <-d.x.closing:
-		d.closedTries++
+		d.closingRetries++
 	}
 }
--- a/node/execute/send.go
+++ b/node/execute/send.go
@@ -11,14 +11,14 @@
 	"github.com/carobmill/carobmill/policy/ownership"
 )
 
-// evidenceGrace is how much longer than the request's timeout the sender may
-// wait for evidence. The caller has its answer by then; but an owner that never
-// sent the request says so at the timeout, and without the grace that word would
-// come too late: the claim would be settled as unknown for good.
+// evidenceGrace is the time after the request's deadline for which the sender still
+// waits for evidence. An owner that did not send the request reports NOT_RUN at the
+// deadline. Without the grace that report would arrive too late, and the claim would be
+// completed as UNKNOWN.
 const evidenceGrace = 500 * time.Millisecond
 
-// pick chooses a replica by the configuration in force now: one that was taken
-// out a moment ago gets nothing.
+// pick chooses a replica by the current configuration, so that a replica that was just
+// taken out of service gets no request.
 func (x *Executor) pick(r *run, a dispatch.Pick) dispatch.Event {
 	_, shard := x.shard(r.req)
 	if shard == nil {
@@ -37,8 +37,8 @@
 	return dispatch.Picked{Replica: replica.Name}
 }
 
-// shard returns where a request belongs in the latest generation: the shard
-// that the caller names, or the one that its routing key ranks first.
+// shard returns the latest generation and the request's shard in it. The shard is the
+// one that the request names, or else the first in the ranking of its routing key.
 func (x *Executor) shard(req Request) (*config.Generation, *config.Shard) {
 	index := x.opts.Index()
 	if index == nil || index.Services[req.Service] == nil {
@@ -58,7 +58,7 @@
 	return generation, generation.Shard(ownership.Rank(req.Key, names)[0])
 }
 
-// send hands the request to the sender, once.
+// send passes the request to the sender once.
 func (x *Executor) send(ctx context.Context, r *run, a dispatch.Send) dispatch.Event {
 	notSent := dispatch.Replied{
 		Attempt:  a.Attempt,
@@ -92,8 +92,8 @@
 		TimeoutUs:  uint64(left.Microseconds()),
 	}
 	resp := x.opts.Sender.Execute(ctx, shard.Replicas[at], req)
-	// A response to something else proves nothing about this request. The sender
-	// may have numbered the attempt anew.
+	// A response with another attempt number is no evidence about this request. The
+	// number is compared with that in req, because the sender may have changed it.
 	if resp == nil || resp.GetAttempt() != req.GetAttempt() {
 		return dispatch.Replied{
 			Attempt:  a.Attempt,
--- a/node/execute/simulation/backend.go
+++ b/node/execute/simulation/backend.go
@@ -9,51 +9,52 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
-// SendBehaviour is what happens to one send.
+// SendBehaviour is the behaviour of the connection and the backend server for one send.
 type SendBehaviour int
 
 const (
-	// RunAndReply runs the request, and the reply comes.
+	// RunAndReply runs the request and returns the reply.
 	RunAndReply SendBehaviour = iota
-	// ResetBeforeWrite breaks the connection before a byte is written.
+	// ResetBeforeWrite resets the connection before any byte is written.
 	ResetBeforeWrite
-	// ResetDuringWrite breaks the connection while the request is written.
+	// ResetDuringWrite resets the connection while the request is written.
 	ResetDuringWrite
-	// ReplyLost runs the request and breaks the connection before the reply.
+	// ReplyLost runs the request and resets the connection before the reply.
 	ReplyLost
-	// OwnerLost has the owner's node die with the request, which runs.
+	// OwnerLost runs the request, and the owner's node fails before the reply.
 	OwnerLost
-	// SlowRun runs the request after the caller's deadline, and the reply comes.
+	// SlowRun runs the request and returns the reply after SlowRunDuration, which is
+	// longer than the caller's deadline.
 	SlowRun
 )
 
-// Backend runs requests by the next fate and counts what ran, by body. It is safe
-// for concurrent use.
+// Backend is a backend service that applies one SendBehaviour to each send. It counts the
+// runs by request body. It is safe for concurrent use.
 type Backend struct {
-	mu    sync.Mutex
-	fates []SendBehaviour
-	runs  map[string]int
-	sent  []string
-	// Hold, when set before the first request, keeps replies until it is closed.
+	mu         sync.Mutex
+	behaviours []SendBehaviour
+	runs       map[string]int
+	sent       []string
+	// Hold blocks all replies until it is closed. It must be set before the first request.
 	Hold chan struct{}
 }
 
-// SlowRunDuration is how long a Slow request runs.
+// SlowRunDuration is the duration of a SlowRun.
 const SlowRunDuration = 30 * time.Second
 
-// NewBackend returns a service whose sends meet the fates in order, and
-// RunAndReply after the last.
-func NewBackend(fates ...SendBehaviour) *Backend {
-	return &Backend{fates: fates, runs: make(map[string]int)}
+// NewBackend returns a backend service that applies the behaviours in order, and
+// RunAndReply after the last one.
+func NewBackend(behaviours ...SendBehaviour) *Backend {
+	return &Backend{behaviours: behaviours, runs: make(map[string]int)}
 }
 
-// Execute sends a request to a replica.
+// Execute implements execute.Sender.
 func (b *Backend) Execute(_ context.Context, r *config.Replica, req *pb.ExecuteRequest) *pb.ExecuteResponse {
 	b.mu.Lock()
 	b.sent = append(b.sent, r.Name)
 	f := RunAndReply
-	if len(b.fates) > 0 {
-		f, b.fates = b.fates[0], b.fates[1:]
+	if len(b.behaviours) > 0 {
+		f, b.behaviours = b.behaviours[0], b.behaviours[1:]
 	}
 	if f != ResetBeforeWrite && f != ResetDuringWrite {
 		b.runs[string(req.GetBody())]++
@@ -80,24 +81,24 @@
 	return resp
 }
 
-// Runs is how often requests with a body ran.
+// Runs returns the number of runs of requests with a body.
 func (b *Backend) Runs(body string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.runs[body]
 }
 
-// Sends is how many requests were sent, whether or not they arrived.
+// Sends returns the number of sends, including those that did not arrive.
 func (b *Backend) Sends() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.sent)
 }
 
-// FirstPicker picks the first replica that is left.
+// FirstPicker picks the first replica that is not excluded.
 type FirstPicker struct{}
 
-// Pick returns a replica that is not excluded, or nil.
+// Pick implements execute.Picker.
 func (FirstPicker) Pick(shard *config.Shard, excluded func(*config.Replica) bool) *config.Replica {
 	for _, replica := range shard.Replicas {
 		if !excluded(replica) {
@@ -107,8 +108,7 @@
 	return nil
 }
 
-// Index returns the configuration of one service, "desk", of one shard with two
-// replicas.
+// Index returns the configuration of one service, "desk", with one shard of two replicas.
 func Index() (*config.Index, error) {
 	return config.New(&pb.Configuration{Version: 1, Sheet: &pb.Sheet{
 		DataCentres: []*pb.DataCentre{{Name: "dc"}},
--- a/node/execute/simulation/doc.go
+++ b/node/execute/simulation/doc.go
@@ -1,5 +1,5 @@
-// Package simulation holds what requests that must not run twice depend on, in
-// memory: a platform whose answers fail as a script says, a backend service that
-// counts what ran, and both in a storm of faults drawn from a seed. What waits uses
-// the time package, so it runs in virtual time inside a synctest bubble.
+// Package simulation provides in-memory test doubles of the platform and of a backend
+// service for tests of non-idempotent requests. Faults are set by the test or drawn at
+// random from a seed. All waits use the time package, so they run in virtual time inside
+// a synctest bubble.
 package simulation
--- a/node/execute/simulation/storm.go
+++ b/node/execute/simulation/faults.go
@@ -11,47 +11,47 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
-// Random is a source of faults shared by the goroutines of one storm.
+// Random is a seeded source of random numbers. It is safe for concurrent use.
 type Random struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// NewRandom returns the source of faults of a seed.
+// NewRandom returns a source with a seed.
 func NewRandom(seed uint64) *Random {
 	return &Random{rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
 // IntN returns a number from 0 to n-1.
-func (d *Random) IntN(n int) int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.rng.IntN(n)
+func (r *Random) IntN(n int) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.rng.IntN(n)
 }
 
-// Duration returns a time below limit.
-func (d *Random) Duration(limit time.Duration) time.Duration {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return time.Duration(d.rng.Int64N(int64(limit)))
+// Duration returns a duration of at least 0 and less than limit.
+func (r *Random) Duration(limit time.Duration) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return time.Duration(r.rng.Int64N(int64(limit)))
 }
 
-// FaultyPlatform answers late, loses answers, applies writes after the client
-// has given up, refuses, and reads from the past.
+// FaultyPlatform is a Platform with random faults: late or lost replies, writes applied
+// after the client's timeout, refused calls and stale reads.
 type FaultyPlatform struct {
 	*Platform
 	*Random
-	// FaultsEnded reports that the storm is over.
+	// FaultsEnded reports whether faults are no longer injected.
 	FaultsEnded func() bool
 }
 
 // CompareAndSwap implements execute.Claims.
 func (p *FaultyPlatform) CompareAndSwap(ctx context.Context, key string, revision uint64, value []byte) (uint64, error) {
-	fate := p.IntN(8)
+	fault := p.IntN(8)
 	if p.FaultsEnded() {
-		fate = 0
+		fault = 0
 	}
-	switch fate {
+	switch fault {
 	case 1:
 		return 0, platform.ErrUnavailable
 	case 2:
@@ -75,9 +75,9 @@
 
 // Get implements execute.Claims.
 func (p *FaultyPlatform) Get(ctx context.Context, key string) (platform.Entry, error) {
-	now, err := p.Platform.Get(ctx, key)
+	entry, err := p.Platform.Get(ctx, key)
 	if p.FaultsEnded() {
-		return now, err
+		return entry, err
 	}
 	switch p.IntN(4) {
 	case 1:
@@ -85,15 +85,16 @@
 	case 2:
 		return platform.Entry{}, platform.ErrNotFound
 	}
-	return now, err
+	return entry, err
 }
 
-// FaultyBackend runs requests at once, late, after the sender has given up, or
-// not at all, and says only what a sender can know.
+// FaultyBackend is a Backend with random faults: a request runs at once, late, after the
+// sender's timeout, or not at all. Responses contain only evidence that a real sender can
+// have.
 type FaultyBackend struct {
 	*Backend
 	*Random
-	// RefusalPercent in a hundred sends.
+	// RefusalPercent is the percentage of sends that are refused with NOT_RUN.
 	RefusalPercent int
 }
 
@@ -109,9 +110,9 @@
 	case 0:
 		return resp
 	case 1:
-		late := b.Duration(20 * time.Second)
+		delay := b.Duration(20 * time.Second)
 		go func() {
-			time.Sleep(late)
+			time.Sleep(delay)
 			b.run(req)
 		}()
 		<-ctx.Done()
--- a/node/execute/simulation/platform.go
+++ b/node/execute/simulation/platform.go
@@ -8,50 +8,50 @@
 	"github.com/carobmill/carobmill/node/platform"
 )
 
-// FaultFunc is asked at each call, with the operation: "get", "claim" or "settle". A
-// non-nil error is the call's, and true makes the write take effect all the same.
+// FaultFunc is called before each operation: "get", "claim" or "complete". A non-nil error
+// is returned to the client. If the result is true as well, the write is still applied.
 type FaultFunc func(ctx context.Context, op string) (bool, error)
 
-// Platform is a key-value service in memory, safe for concurrent use. Its zero
-// value is of no use; NewPlatform makes one.
+// Platform is an in-memory key-value service. It is safe for concurrent use. Create one
+// with NewPlatform.
 type Platform struct {
 	mu     sync.Mutex
 	rev    uint64
 	keys   map[string]platform.Entry
 	leased map[string]bool
 	grants int
-	before FaultFunc
-	// pause delays the answer to the next claim that took effect.
+	faults FaultFunc
+	// pause is the delay set by PauseNextClaim.
 	pause time.Duration
 }
 
-// NewPlatform returns an empty service without faults.
+// NewPlatform returns an empty key-value service without faults.
 func NewPlatform() *Platform {
 	return &Platform{keys: make(map[string]platform.Entry), leased: make(map[string]bool)}
 }
 
-// PauseNextClaim delays the answer to the next claim.
+// PauseNextClaim delays the reply to the next write that is applied.
 func (p *Platform) PauseNextClaim(pause time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.pause = pause
 }
 
-// SetFaults replaces the script; nil ends the faults.
-func (p *Platform) SetFaults(before FaultFunc) {
+// SetFaults replaces the fault function. Nil disables faults.
+func (p *Platform) SetFaults(faults FaultFunc) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.before = before
+	p.faults = faults
 }
 
 func (p *Platform) fault(ctx context.Context, op string) (bool, error) {
 	p.mu.Lock()
-	before := p.before
+	faults := p.faults
 	p.mu.Unlock()
-	if before == nil {
+	if faults == nil {
 		return false, nil
 	}
-	return before(ctx, op)
+	return faults(ctx, op)
 }
 
 // Get returns the entry of a key, or platform.ErrNotFound.
@@ -68,15 +68,15 @@
 	return e, nil
 }
 
-// CompareAndSwap writes a key that stands at a revision and returns the new one,
-// or platform.ErrConflict.
+// CompareAndSwap writes a key if its revision matches, and returns the new revision or
+// platform.ErrConflict.
 func (p *Platform) CompareAndSwap(ctx context.Context, key string, revision uint64, value []byte) (uint64, error) {
 	op := "claim"
 	if revision > 0 {
-		op = "settle"
+		op = "complete"
 	}
-	lose, err := p.fault(ctx, op)
-	if err != nil && !lose {
+	applied, err := p.fault(ctx, op)
+	if err != nil && !applied {
 		return 0, err
 	}
 	rev, pause := p.swap(key, revision, value)
@@ -99,7 +99,7 @@
 	return p.rev, pause
 }
 
-// Grant counts the leases that were granted; all are one.
+// Grant counts the granted leases. All of them have the same id.
 func (p *Platform) Grant(context.Context, time.Duration) (platform.LeaseID, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,7 +107,7 @@
 	return 1, nil
 }
 
-// CompareAndSwapLeased is CompareAndSwap, and notes that the key lapses.
+// CompareAndSwapLeased is CompareAndSwap and records that the key has a lease.
 func (p *Platform) CompareAndSwapLeased(ctx context.Context, key string, revision uint64, value []byte, _ platform.LeaseID) (uint64, error) {
 	rev, err := p.CompareAndSwap(ctx, key, revision, value)
 	if err == nil {
@@ -118,21 +118,21 @@
 	return rev, err
 }
 
-// Leased is the number of keys that lapse.
+// Leased returns the number of keys with a lease.
 func (p *Platform) Leased() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.leased)
 }
 
-// Grants is the number of leases granted so far.
+// Grants returns the number of granted leases.
 func (p *Platform) Grants() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.grants
 }
 
-// Bytes is what the keys and their values take.
+// Bytes returns the total size of the keys and their values.
 func (p *Platform) Bytes() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
