--- a/node/publish/faulty/kv.go
+++ b/node/publish/faulty/kv.go
@@ -1,7 +1,7 @@
-// Package faulty is the platform that a publisher writes to, in memory: one key,
-// calls that fail as a list of faults says, and another operator who publishes at
-// the same time. It keeps every entry that stood, so that what a publisher reports
-// can be compared with it.
+// Package faulty provides an in-memory key-value service for tests of publishing. It has
+// one key, injects a list of faults and simulates a concurrent publish by another
+// operator. It records the history of the key, so that a test can verify the reported
+// outcome.
 package faulty
 
 import (
@@ -14,141 +14,142 @@
 	"github.com/carobmill/carobmill/node/platform"
 )
 
-// Fault is what happens to one call.
+// Fault is the fault that is injected into one call.
 type Fault int
 
 const (
-	// None lets the call through.
+	// None injects no fault.
 	None Fault = iota
-	// LoseReplyAfterWrite has a write take effect and loses its answer.
+	// LoseReplyAfterWrite applies the write and loses the reply.
 	LoseReplyAfterWrite
-	// LoseReplyBeforeWrite has a write go without effect and loses its answer.
+	// LoseReplyBeforeWrite drops the write and its reply.
 	LoseReplyBeforeWrite
-	// DelayWrite loses the answer; the write takes effect before the next call.
+	// DelayWrite loses the reply and applies the write before the next call.
 	DelayWrite
-	// Unavailable refuses the call, which has no effect.
+	// Unavailable refuses the call without effect.
 	Unavailable
-	// StaleRead has a read answer with the oldest entry.
+	// StaleRead returns the oldest entry to a read.
 	StaleRead
-	// ConcurrentPublish has another operator's version accepted just before the call.
+	// ConcurrentPublish writes another operator's version just before the call.
 	ConcurrentPublish
 )
 
-// KV holds one key and plays one fault a call. It is for one goroutine.
+// KV holds one key and injects one fault per call. It is not safe for concurrent use.
 type KV struct {
-	// Faults are those of the next calls, in order. When they are used up the KV
-	// calls End, if there is one, and is down from then on.
+	// Faults are the faults of the next calls, in order.
 	Faults []Fault
+	// Cancel, if set, is called at each call after the last fault. These calls are refused
+	// as Unavailable.
 	Cancel context.CancelFunc
-	// History holds every entry that stood, the oldest first.
+	// History holds all entries of the key, oldest first.
 	History []platform.Entry
-	// WriteAttempts counts the writes that were tried.
+	// WriteAttempts is the number of calls of CompareAndSwap.
 	WriteAttempts int
 
 	pending func()
 }
 
-// ApplyPending has a delayed write take effect, if one is on the way.
-func (f *KV) ApplyPending() {
-	if f.pending != nil {
-		f.pending()
-		f.pending = nil
+// ApplyPending applies the delayed write, if there is one.
+func (kv *KV) ApplyPending() {
+	if kv.pending != nil {
+		kv.pending()
+		kv.pending = nil
 	}
 }
 
-func (f *KV) next() Fault {
-	f.ApplyPending()
-	if len(f.Faults) == 0 {
-		if f.Cancel == nil {
+func (kv *KV) nextFault() Fault {
+	kv.ApplyPending()
+	if len(kv.Faults) == 0 {
+		if kv.Cancel == nil {
 			return None
 		}
-		f.Cancel()
+		kv.Cancel()
 		return Unavailable
 	}
-	now := f.Faults[0]
-	f.Faults = f.Faults[1:]
-	if now == ConcurrentPublish {
-		f.WriteConcurrent()
+	fault := kv.Faults[0]
+	kv.Faults = kv.Faults[1:]
+	if fault == ConcurrentPublish {
+		kv.WriteConcurrent()
 	}
-	return now
+	return fault
 }
 
-func (f *KV) current() platform.Entry {
-	if len(f.History) == 0 {
+func (kv *KV) current() platform.Entry {
+	if len(kv.History) == 0 {
 		return platform.Entry{}
 	}
-	return f.History[len(f.History)-1]
+	return kv.History[len(kv.History)-1]
 }
 
-// Put writes a value at the next revision, which it returns.
-func (f *KV) Put(value []byte) uint64 {
-	revision := f.current().Revision + 1
-	f.History = append(f.History, platform.Entry{Value: value, Revision: revision})
+// Put writes a value and returns its revision.
+func (kv *KV) Put(value []byte) uint64 {
+	revision := kv.current().Revision + 1
+	kv.History = append(kv.History, platform.Entry{Value: value, Revision: revision})
 	return revision
 }
 
-// WriteConcurrent has another operator's version accepted, which names the ids before it.
-func (f *KV) WriteConcurrent() {
-	was := &pb.Configuration{}
-	_ = proto.Unmarshal(f.current().Value, was)
+// WriteConcurrent writes another operator's version, which lists the earlier publish ids.
+func (kv *KV) WriteConcurrent() {
+	previous := &pb.Configuration{}
+	_ = proto.Unmarshal(kv.current().Value, previous)
 	cfg := &pb.Configuration{
-		Version:           was.GetVersion() + 1,
-		PublishId:         "rival",
+		Version:           previous.GetVersion() + 1,
+		PublishId:         "concurrent",
 		Sheet:             Sheet(20),
-		EarlierPublishIds: append([]string{was.GetPublishId()}, was.GetEarlierPublishIds()...),
+		EarlierPublishIds: append([]string{previous.GetPublishId()}, previous.GetEarlierPublishIds()...),
 	}
 	value, _ := proto.Marshal(cfg)
-	f.Put(value)
+	kv.Put(value)
 }
 
 // Get returns the entry, or platform.ErrNotFound.
-func (f *KV) Get(context.Context, string) (platform.Entry, error) {
-	switch f.next() {
+func (kv *KV) Get(context.Context, string) (platform.Entry, error) {
+	switch kv.nextFault() {
 	case Unavailable:
 		return platform.Entry{}, platform.ErrUnavailable
 	case StaleRead:
-		if len(f.History) > 0 {
-			return f.History[0], nil
+		if len(kv.History) > 0 {
+			return kv.History[0], nil
 		}
 	}
-	if len(f.History) == 0 {
+	if len(kv.History) == 0 {
 		return platform.Entry{}, platform.ErrNotFound
 	}
-	return f.current(), nil
+	return kv.current(), nil
 }
 
-// CompareAndSwap writes the key when it stands at a revision and returns the new
-// one, or platform.ErrConflict.
-func (f *KV) CompareAndSwap(_ context.Context, _ string, revision uint64, value []byte) (uint64, error) {
-	f.WriteAttempts++
-	now := f.next()
-	switch now {
+// CompareAndSwap writes the key if its revision matches, and returns the new revision or
+// platform.ErrConflict.
+func (kv *KV) CompareAndSwap(_ context.Context, _ string, revision uint64, value []byte) (uint64, error) {
+	kv.WriteAttempts++
+	fault := kv.nextFault()
+	switch fault {
 	case Unavailable:
 		return 0, platform.ErrUnavailable
 	case LoseReplyBeforeWrite:
 		return 0, platform.ErrAmbiguous
 	case DelayWrite:
-		f.pending = func() {
-			if f.current().Revision == revision {
-				f.Put(value)
+		kv.pending = func() {
+			if kv.current().Revision == revision {
+				kv.Put(value)
 			}
 		}
 		return 0, platform.ErrAmbiguous
 	}
-	if f.current().Revision != revision {
+	if kv.current().Revision != revision {
 		return 0, platform.ErrConflict
 	}
-	written := f.Put(value)
-	if now == LoseReplyAfterWrite {
+	written := kv.Put(value)
+	if fault == LoseReplyAfterWrite {
 		return 0, platform.ErrAmbiguous
 	}
 	return written, nil
 }
 
-// WriteCount counts the accepted versions with a publish id.
-func (f *KV) WriteCount(id string) int {
+// WriteCount returns the number of entries in the history with a publish id.
+func (kv *KV) WriteCount(id string) int {
 	count := 0
-	for _, entry := range f.History {
+	for _, entry := range kv.History {
 		cfg := &pb.Configuration{}
 		if proto.Unmarshal(entry.Value, cfg) == nil && cfg.GetPublishId() == id {
 			count++
@@ -157,7 +158,7 @@
 	return count
 }
 
-// Sheet returns a sheet of one service with one replica a shard.
+// Sheet returns a sheet of one service with one replica per shard.
 func Sheet(shards int) *pb.Sheet {
 	gen := &pb.Generation{Id: 1, FirstSnapshot: 1}
 	for i := range shards {
--- a/node/publish/outcome.go
+++ b/node/publish/outcome.go
@@ -5,28 +5,28 @@
 	"github.com/carobmill/carobmill/policy/sheet"
 )
 
-// Outcome is what became of a publish.
+// Outcome is the outcome of a publish.
 type Outcome int
 
 // Outcomes of a publish.
 const (
 	// Published: the sheet is the accepted configuration.
 	Published Outcome = iota + 1
-	// Unchanged: the accepted configuration holds this sheet already.
+	// Unchanged: the accepted configuration already has this sheet.
 	Unchanged
-	// Superseded: the sheet was accepted, and another version has followed since.
+	// Superseded: the sheet was accepted, but a later version has replaced it.
 	Superseded
-	// Conflict: another operator's version stands; nothing was written.
+	// Conflict: another operator's version is accepted; nothing was written.
 	Conflict
 	// Refused: the sheet may not replace the accepted one; nothing was written.
 	Refused
-	// TooLarge: the platform holds no value of this size; nothing was written.
+	// TooLarge: the value exceeds the platform's size limit; nothing was written.
 	TooLarge
 	// Invalid: the sheet does not compile; nothing was written.
 	Invalid
 	// Unavailable: the platform did not answer in time; nothing was written.
 	Unavailable
-	// Unknown: a write went out and could not be settled in time.
+	// Unknown: a write was sent, but it is not known whether it took effect.
 	Unknown
 )
 
@@ -42,7 +42,7 @@
 	Unknown:     "unknown",
 }
 
-// String names the outcome.
+// String returns the name of the outcome.
 func (o Outcome) String() string {
 	return outcomeNames[o]
 }
@@ -50,15 +50,16 @@
 // Result of a publish.
 type Result struct {
 	Outcome Outcome
-	// Accepted is the configuration that stands, as far as it is known.
+	// Accepted is the accepted configuration, or nil if it is not known.
 	Accepted *pb.Configuration
-	// Diff is what the sheet changes against Accepted, or did before it won.
+	// Diff is the difference between Accepted and the sheet. After a successful publish,
+	// it is the difference to the configuration accepted before.
 	Diff sheet.Diff
-	// PublishID of this publish.
+	// PublishID is the id of this publish.
 	PublishID string
-	// Bytes of the value; 0 when it was not built.
+	// Bytes is the size of the encoded value, or 0 if it was not encoded.
 	Bytes int
-	// Err says why the outcome is not a success.
+	// Err is the cause of an outcome other than a success. It may be nil.
 	Err error
 }
 
--- a/node/publish/publish.go
+++ b/node/publish/publish.go
@@ -1,6 +1,6 @@
-// Package publish puts a sheet in force: one compare-and-swap of the fleet's
-// configuration, a lost answer settled by reading, then a wait until every node
-// known has the version in force.
+// Package publish puts a sheet in force. Publish writes the fleet's configuration with
+// compare-and-swap and resolves a lost reply by reading. Await then waits until every
+// known node has the version in force.
 package publish
 
 import (
@@ -18,15 +18,15 @@
 )
 
 const (
-	// maxEarlierIDs bounds the publish ids that a configuration keeps.
+	// maxEarlierIDs bounds the earlier publish ids in a configuration.
 	maxEarlierIDs = 16
-	// defaultPause is the time between two attempts at the platform.
+	// defaultPause is the default delay between retries and between status queries.
 	defaultPause = 200 * time.Millisecond
 )
 
 // KV is the part of the platform's key-value service that publishing needs.
 type KV interface {
-	// Get may answer from the past.
+	// Get may return a stale entry.
 	Get(ctx context.Context, key string) (platform.Entry, error)
 	CompareAndSwap(ctx context.Context, key string, revision uint64, value []byte) (uint64, error)
 }
@@ -34,23 +34,23 @@
 // Options of one publish.
 type Options struct {
 	KV KV
-	// Key of the fleet's configuration.
+	// Key is the key of the fleet's configuration.
 	Key string
-	// By names the operator.
+	// By is the name of the operator.
 	By string
-	// Base is the accepted version that the operator worked from; another one is
-	// a lost race. 0 takes whichever is accepted.
+	// Base is the accepted version that the sheet is based on. If another version is
+	// accepted, the outcome is Conflict. 0 disables the check.
 	Base uint64
-	// HighestInForce is the highest version that a node has in force, 0 when no
-	// node was asked. It keeps the version rising when the platform has lost or
-	// damaged the value: nodes never take a lower version.
+	// HighestInForce is the highest version that a node has in force, or 0 if no node
+	// was queried. The new version is higher, even if the platform has lost or damaged
+	// the value. Nodes never apply a lower version.
 	HighestInForce uint64
-	// Pause between two attempts; 0 is 200 ms.
+	// Pause is the delay between retries. 0 selects 200 ms.
 	Pause time.Duration
 }
 
-// Publish makes the sheet the accepted configuration, once, unless another
-// operator got there first. It tries until ctx ends.
+// Publish makes the sheet the accepted configuration, unless another operator's version
+// was accepted first. It retries until ctx ends.
 func Publish(ctx context.Context, o Options, s *pb.Sheet) Result {
 	if o.Pause == 0 {
 		o.Pause = defaultPause
@@ -66,7 +66,7 @@
 	return p.write(ctx)
 }
 
-// Accepted reads the accepted configuration; nil when there is none.
+// Accepted returns the accepted configuration, or nil if there is none.
 func Accepted(ctx context.Context, kv KV, key string) (*pb.Configuration, error) {
 	entry, err := kv.Get(ctx, key)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -84,17 +84,18 @@
 		return nil, errors.Wrap(err, "decode the accepted configuration")
 	}
 	if cfg.GetVersion() == 0 || cfg.GetSheet() == nil {
-		return nil, errors.New("decode the accepted configuration: it has no version or no sheet")
+		return nil, errors.New("decode the accepted configuration: version or sheet is missing")
 	}
 	return cfg, nil
 }
 
-// stored is what a read of the key gave.
+// stored is the result of a read of the key.
 type stored struct {
-	// revision is 0 when the key is absent.
+	// revision is 0 if the key is absent.
 	revision uint64
-	// cfg is nil when the key is absent or damaged.
-	cfg     *pb.Configuration
+	// cfg is nil if the key is absent or its value is damaged.
+	cfg *pb.Configuration
+	// damaged is the decoding error of a damaged value.
 	damaged error
 }
 
@@ -105,11 +106,11 @@
 	next  *pb.Configuration
 	value []byte
 	diff  sheet.Diff
-	// doubt is set once a write went out whose answer was lost.
-	doubt bool
+	// uncertain is set after the reply to a write was lost.
+	uncertain bool
 }
 
-// read gets the key, trying again while the platform does not answer.
+// read reads the key. It retries while the platform does not answer.
 func (p *publisher) read(ctx context.Context) (stored, error) {
 	for {
 		entry, err := p.KV.Get(ctx, p.Key)
@@ -125,8 +126,8 @@
 	}
 }
 
-// prepare compiles the sheet against the accepted configuration. False when
-// nothing is to be written; the result then says why.
+// prepare compiles the sheet against the accepted configuration. It returns false and the
+// result if nothing is to be written.
 func (p *publisher) prepare(base stored, s *pb.Sheet) (Result, bool) {
 	p.base = base
 	accepted := base.cfg
@@ -134,7 +135,7 @@
 	if p.Base != 0 && p.Base != accepted.GetVersion() {
 		return p.result(Conflict, accepted, nil), false
 	}
-	if err := p.refusal(s); err != nil {
+	if err := p.refusalReason(s); err != nil {
 		return p.result(Refused, accepted, err), false
 	}
 	version := max(accepted.GetVersion(), p.HighestInForce) + 1
@@ -156,9 +157,9 @@
 	return Result{}, true
 }
 
-// refusal says why the sheet may not replace what is accepted. allow_loss
-// overrides each reason, for then the operators have stated that they mean it.
-func (p *publisher) refusal(s *pb.Sheet) error {
+// refusalReason returns why the sheet may not replace the accepted configuration, or nil.
+// allow_loss overrides each reason, except for a damaged value of unknown version.
+func (p *publisher) refusalReason(s *pb.Sheet) error {
 	lostValue := p.base.cfg == nil && p.HighestInForce > 0
 	switch {
 	case p.base.damaged != nil && p.HighestInForce == 0:
--- a/node/publish/inforce.go
+++ b/node/publish/rollout.go
@@ -11,35 +11,37 @@
 	"github.com/carobmill/carobmill/node/work"
 )
 
-// Fleet answers for all nodes that the node asked knows.
+// Fleet returns the status of all nodes that the queried node lists.
 type Fleet interface {
 	Status(ctx context.Context) ([]*pb.NodeStatus, error)
 }
 
-// LaggingNode is a node that does not have a version in force, and why.
+// LaggingNode is a node that does not have a version in force, with the reason.
 type LaggingNode struct {
 	Node   string
 	Reason string
 }
 
-// RolloutStatus says how far a version has spread.
+// RolloutStatus describes which nodes have a version in force.
 type RolloutStatus struct {
 	Version uint64
-	// Nodes that are known, and those of them that lag, in order of their names.
+	// Nodes is the number of known nodes. Lagging lists those that do not have the
+	// version in force, sorted by name.
 	Nodes   int
 	Lagging []LaggingNode
-	// Elapsed is the time until the last node had it, or until the time limit.
+	// Elapsed is the time until the last node had the version in force, or until the
+	// context ended.
 	Elapsed time.Duration
-	// Err is set when no node could be asked.
+	// Err is set if no node could be queried.
 	Err error
 }
 
-// Done reports whether every node known has the version in force.
-func (f RolloutStatus) Done() bool {
-	return f.Err == nil && f.Nodes > 0 && len(f.Lagging) == 0
+// Done reports whether every known node has the version in force.
+func (s RolloutStatus) Done() bool {
+	return s.Err == nil && s.Nodes > 0 && len(s.Lagging) == 0
 }
 
-// HighestInForce is the highest version that any node has in force.
+// HighestInForce returns the highest version that any node has in force.
 func HighestInForce(nodes []*pb.NodeStatus) uint64 {
 	var highest uint64
 	for _, n := range nodes {
@@ -48,60 +50,61 @@
 	return highest
 }
 
-// Await asks the fleet until every node known has the version in force or ctx
-// ends. The VM list names nodes that the fleet itself may not know, such as the
-// far side of a partition; it may be nil. The fleet is asked again after the
-// time every; 0 is 200 ms.
-func Await(ctx context.Context, fleet Fleet, vms platform.VMList, version uint64, every time.Duration) RolloutStatus {
+// Await queries the fleet until every known node has the version in force or ctx ends.
+// The VM list adds nodes that the fleet may not list, such as those on the other side of
+// a network partition. It may be nil. The interval between queries is 200 ms if it is 0.
+func Await(ctx context.Context, fleet Fleet, vms platform.VMList, version uint64, interval time.Duration) RolloutStatus {
 	start := time.Now()
-	if every == 0 {
-		every = defaultPause
+	if interval == 0 {
+		interval = defaultPause
 	}
 	var last RolloutStatus
 	for {
-		now := ask(ctx, fleet, vms, version)
-		// A question cut short by the time limit tells less than the one before.
+		current := queryFleet(ctx, fleet, vms, version)
+		// A query cut off by the end of ctx is incomplete, so the previous result, if any,
+		// is returned.
 		if ctx.Err() == nil || last.Version == 0 {
-			last = now
+			last = current
 		}
 		last.Elapsed = time.Since(start)
 		if last.Done() {
 			return last
 		}
-		if !work.Sleep(ctx, every) {
+		if !work.Sleep(ctx, interval) {
 			last.Elapsed = time.Since(start)
 			return last
 		}
 	}
 }
 
-func ask(ctx context.Context, fleet Fleet, vms platform.VMList, version uint64) RolloutStatus {
-	f := RolloutStatus{Version: version}
+func queryFleet(ctx context.Context, fleet Fleet, vms platform.VMList, version uint64) RolloutStatus {
+	s := RolloutStatus{Version: version}
 	nodes, err := fleet.Status(ctx)
 	if err != nil {
-		f.Err = err
-		return f
+		s.Err = err
+		return s
 	}
 	reasons := make(map[string]string)
 	for _, n := range nodes {
-		reasons[n.GetNode()] = reason(n, version)
+		reasons[n.GetNode()] = lagReason(n, version)
 	}
 	for _, n := range nodes {
 		addMembers(reasons, n.GetMembers(), version)
 	}
 	addVMs(ctx, reasons, vms)
-	f.Nodes = len(reasons)
+	s.Nodes = len(reasons)
 	for node, why := range reasons {
 		if why != "" {
-			f.Lagging = append(f.Lagging, LaggingNode{Node: node, Reason: why})
+			s.Lagging = append(s.Lagging, LaggingNode{Node: node, Reason: why})
 		}
 	}
-	sort.Slice(f.Lagging, func(i, j int) bool { return f.Lagging[i].Node < f.Lagging[j].Node })
-	return f
+	sort.Slice(s.Lagging, func(i, j int) bool { return s.Lagging[i].Node < s.Lagging[j].Node })
+	return s
 }
 
-// reason says why a node lags; empty when it does not.
-func reason(n *pb.NodeStatus, version uint64) string {
+// lagReason returns why a node does not have the version in force, or an empty string if
+// it has.
+func lagReason(n *pb.NodeStatus, version uint64) string {
 	switch {
 	case n.GetError() != "":
 		return "cannot be asked: " + n.GetError()
@@ -118,8 +121,8 @@
 	return why
 }
 
-// addMembers adds members that no status stands for. Members that leave or are
-// gone get no work and need no configuration.
+// addMembers adds the members without a status. Members that are leaving or gone receive
+// no requests and need no configuration.
 func addMembers(reasons map[string]string, members []*pb.MemberChange, version uint64) {
 	for _, m := range members {
 		if _, ok := reasons[m.GetNode()]; ok {
@@ -129,15 +132,16 @@
 		case pb.MemberState_MEMBER_STATE_LEAVING, pb.MemberState_MEMBER_STATE_GONE:
 			continue
 		case pb.MemberState_MEMBER_STATE_DEAD:
-			reasons[m.GetNode()] = fmt.Sprintf("counts as dead, version last heard is %d", m.GetConfigVersion())
+			reasons[m.GetNode()] = fmt.Sprintf("member is dead, last reported version is %d", m.GetConfigVersion())
 		default:
 			if m.GetConfigVersion() < version {
-				reasons[m.GetNode()] = fmt.Sprintf("did not answer, version last heard is %d", m.GetConfigVersion())
+				reasons[m.GetNode()] = fmt.Sprintf("did not answer, last reported version is %d", m.GetConfigVersion())
 			}
 		}
 	}
 }
 
+// addVMs adds the VMs that are neither leaving nor listed by the queried nodes.
 func addVMs(ctx context.Context, reasons map[string]string, list platform.VMList) {
 	if list == nil {
 		return
@@ -148,7 +152,7 @@
 	}
 	for _, vm := range vms {
 		if _, ok := reasons[vm.Name]; !ok && !vm.Leaving {
-			reasons[vm.Name] = "stands on the platform's VM list, but is unknown to the nodes asked"
+			reasons[vm.Name] = "on the platform's VM list, but unknown to the queried nodes"
 		}
 	}
 }
--- a/node/publish/write.go
+++ b/node/publish/write.go
@@ -11,14 +11,14 @@
 	"github.com/carobmill/carobmill/node/work"
 )
 
-// write swaps the value in and settles what became of it.
+// write writes the value with compare-and-swap and determines the outcome.
 //
-// The answer to a write can be lost after it took effect. Reporting a failure
-// then would make the operator publish again over somebody else's change, and
-// reporting success could be false. So the key is read: the publish id in it
-// tells whose value it is. While the key still shows the base revision, the same
-// value is written again at the same revision; both writes cannot take effect,
-// since the first one moves the revision.
+// The reply to a write can be lost after the write took effect. If a failure were
+// reported then, the operator could publish again and overwrite another operator's change.
+// A reported success could be false. Therefore the key is read again, and its publish id
+// identifies the writer. While the key is at the base revision, the same value is written
+// again at that revision. At most one of these writes takes effect, because it changes the
+// revision.
 func (p *publisher) write(ctx context.Context) Result {
 	for {
 		_, err := p.KV.CompareAndSwap(ctx, p.Key, p.base.revision, p.value)
@@ -28,66 +28,66 @@
 		case errors.Is(err, platform.ErrTooLarge):
 			return p.result(TooLarge, p.base.cfg, err)
 		case errors.Is(err, platform.ErrConflict):
-			return p.settle(ctx, err)
+			return p.resolveConflict(ctx, err)
 		case errors.Is(err, platform.ErrAmbiguous):
-			p.doubt = true
-			if r, ok := p.look(ctx); ok {
+			p.uncertain = true
+			if r, ok := p.readOutcome(ctx); ok {
 				return r
 			}
 		}
 		if !work.Sleep(ctx, p.Pause) {
-			return p.undecided(err)
+			return p.undecidedResult(err)
 		}
 	}
 }
 
-// settle reads until the key is past the base revision: a conflict states that
-// it is, but a read may still answer from the past.
-func (p *publisher) settle(ctx context.Context, conflict error) Result {
+// resolveConflict reads the key until its revision is past the base revision. After a
+// conflict it is, but a read may still return a stale entry.
+func (p *publisher) resolveConflict(ctx context.Context, conflict error) Result {
 	for {
-		if r, ok := p.look(ctx); ok {
+		if r, ok := p.readOutcome(ctx); ok {
 			return r
 		}
 		if !work.Sleep(ctx, p.Pause) {
 			break
 		}
 	}
-	if p.doubt {
-		return p.undecided(conflict)
+	if p.uncertain {
+		return p.undecidedResult(conflict)
 	}
 	return p.result(Conflict, nil, conflict)
 }
 
-// look reads the key once; false when that does not decide the outcome.
-func (p *publisher) look(ctx context.Context) (Result, bool) {
+// readOutcome reads the key once. It returns false if the outcome is still open.
+func (p *publisher) readOutcome(ctx context.Context) (Result, bool) {
 	entry, err := p.KV.Get(ctx, p.Key)
 	if err != nil || entry.Revision <= p.base.revision {
 		return Result{}, false
 	}
 	cfg, err := decode(entry.Value)
 	if err != nil {
-		return p.undecided(err), true
+		return p.undecidedResult(err), true
 	}
 	switch {
 	case cfg.GetPublishId() == p.id:
 		return p.result(Published, cfg, nil), true
 	case slices.Contains(cfg.GetEarlierPublishIds(), p.id):
 		return p.result(Superseded, cfg, nil), true
-	case p.doubt && cfg.GetVersion() > p.next.GetVersion()+maxEarlierIDs:
-		return p.undecided(errors.Errorf("version %d no longer names the publish ids of version %d",
+	case p.uncertain && cfg.GetVersion() > p.next.GetVersion()+maxEarlierIDs:
+		return p.undecidedResult(errors.Errorf("version %d no longer lists the publish id of version %d",
 			cfg.GetVersion(), p.next.GetVersion())), true
 	}
 	return p.result(Conflict, cfg, nil), true
 }
 
-func (p *publisher) undecided(err error) Result {
-	if p.doubt {
+func (p *publisher) undecidedResult(err error) Result {
+	if p.uncertain {
 		return p.result(Unknown, nil, err)
 	}
 	return p.result(Unavailable, nil, err)
 }
 
-// result reports an outcome together with the configuration accepted now.
+// result builds the Result of an outcome.
 func (p *publisher) result(outcome Outcome, accepted *pb.Configuration, err error) Result {
 	r := Result{
 		Outcome:   outcome,
