--- a/node/execute/faults_test.go
+++ b/node/execute/faults_test.go
@@ -17,7 +17,7 @@
 
 // Concurrent callers submit, cancel and repeat the same requests at two nodes under
 // random faults of the platform and the backend service. One node is closed and a third
-// one added, while callers still reach all of them. No request runs twice at the backend
+// one is added, while callers still reach all of them. No request runs twice at the backend
 // service, and none that was reported as NOT_RUN had run by then.
 func TestRetriesUnderRandomFaultsRunEachFeeOnce(t *testing.T) {
 	const schedules = 150
--- a/node/execute/run.go
+++ b/node/execute/run.go
@@ -229,7 +229,7 @@
 	return false
 }
 
-// reportUnresolved logs and counts a claim that may stay PENDING forever.
+// reportUnresolved counts and logs the claim if it may stay PENDING forever.
 func (d *driver) reportUnresolved() {
 	if d.machine.ClaimResolved() {
 		return
