--- a/node/peer/fuzz_test.go
+++ b/node/peer/fuzz_test.go
@@ -61,7 +61,7 @@
 
 func (n *loneNode) Receive(e *pb.Envelope) error {
 	if e.GetFleet() != "test" {
-		return &fleet.OtherFleetError{Fleet: e.GetFleet()}
+		return &fleet.NameMismatchError{Fleet: e.GetFleet()}
 	}
 	return nil
 }
@@ -93,7 +93,7 @@
 		n.mu.Lock()
 		n.running--
 		n.mu.Unlock()
-		call.Settled()
+		call.OnRelease()
 	}()
 	if call.Class == "hang" {
 		<-ctx.Done()
@@ -197,7 +197,7 @@
 	sent.Wait()
 	pool.Close()
 	switch {
-	case time.Since(began) > owner.MaxTime+time.Second:
+	case time.Since(began) > owner.MaxMessageDuration+time.Second:
 		t.Fatalf("held for %v", time.Since(began))
 	case n.wrong != "":
 		t.Fatalf("replica %q was asked", n.wrong)
@@ -246,7 +246,7 @@
 // A part of a query comes in with large results, all at once. In one message they
 // exceed what the sender takes: it drops the message, and the whole part is absent
 // from the answer. Each result must come once, in messages that it takes.
-func TestLargeResultsComeInMessagesThatAreTaken(t *testing.T) {
+func TestLargeResultsAreSplitIntoAcceptableMessages(t *testing.T) {
 	const count = 9
 	large := make([]byte, maxMessage/(count-1))
 	stream := &collector{results: make(map[uint64]int)}
--- a/node/peer/scatterpath/fakes.go
+++ b/node/peer/scatterpath/fakes.go
@@ -32,7 +32,7 @@
 func (f *oneOwner) Self() fleet.Member                     { return f.self }
 func (f *oneOwner) Revision() uint64                       { return 1 }
 func (f *oneOwner) Ready() (bool, string)                  { return true, "" }
-func (f *oneOwner) Suspected(string)                       {}
+func (f *oneOwner) ReportCallFailure(string)               {}
 func (f *oneOwner) Receive(*pb.Envelope) error             { return nil }
 
 func (f *oneOwner) Envelope() *pb.Envelope {
@@ -52,7 +52,7 @@
 	if i.delay > 0 {
 		time.Sleep(i.delay/2 + time.Duration(rand.Int64N(int64(i.delay))))
 	}
-	call.Settled()
+	call.OnRelease()
 	return backend.Reply{Evidence: pb.Evidence_EVIDENCE_RAN, Snapshot: 70_000, Generation: 3, Oldest: 69_990,
 		Newest: 70_000, Incarnation: "i", Result: instantResult, Took: 4 * time.Millisecond}
 }
