--- a/node/deployment/check.go
+++ b/node/deployment/check.go
@@ -22,7 +22,7 @@
 	// LeaveGrace is how long after a change, or after its own word, a backend
 	// server may still get new work.
 	LeaveGrace = 3 * time.Second
-	// shutdownPause is the time between the requests of one caller in ShutDown.
+	// shutdownPause is the time between the requests of one caller in ShutDownUnderLoad.
 	shutdownPause = 5 * time.Millisecond
 	// shutdownMargin is the time that a caller's request may take to the node, and
 	// that callers start apart.
@@ -45,10 +45,10 @@
 	return names
 }
 
-// NewWork returns how many requests each of the named backend servers got during a
+// RequestsDuring returns how many requests each of the named backend servers got during a
 // call, those that it refused included. Backend servers without any are left out, so
 // that an empty result keeps the promise that whatever leaves gets no new work.
-func (d *Deployment) NewWork(during func(), replicas ...string) map[string]uint64 {
+func (d *Deployment) RequestsDuring(during func(), replicas ...string) map[string]uint64 {
 	before := make(map[string]uint64, len(replicas))
 	for _, name := range replicas {
 		before[name] = d.requests(name)
@@ -69,9 +69,9 @@
 	return c.Queries + c.Executes + c.Shed + c.Refused + c.NoSnapshot
 }
 
-// TellAll sends every node the same news of a service's replica as if it came from
+// ReplayReplicaReport sends every node the same news of a service's replica as if it came from
 // the named node, as a message does that was delayed on its way.
-func (d *Deployment) TellAll(ctx context.Context, sender, service string, news *pb.ReplicaNews) error {
+func (d *Deployment) ReplayReplicaReport(ctx context.Context, sender, service string, news *pb.ReplicaNews) error {
 	for _, n := range d.Nodes {
 		req := &pb.ReportReplicaRequest{
 			Envelope: &pb.Envelope{Fleet: d.Sheet.GetFleet(), Protocol: fleet.Protocol, Sender: sender},
@@ -114,21 +114,21 @@
 	return ""
 }
 
-// Shutdown is what callers of one node saw of its graceful shutdown.
-type Shutdown struct {
+// ShutdownResult is what callers of one node saw of its graceful shutdown.
+type ShutdownResult struct {
 	// Complete answers, and requests that came after the balancer's lag and were
 	// refused as not run or found the port closed.
 	Complete, Late int
-	// Cut says what became of each request that was due a whole answer and did
+	// Interrupted says what became of each request that was due a whole answer and did
 	// not get one, and of each partial answer.
-	Cut []string
+	Interrupted []string
 }
 
-// ShutDown stops a node gracefully while callers use it without pause. A balancer
+// ShutDownUnderLoad stops a node gracefully while callers use it without pause. A balancer
 // goes on sending them for its lag; each request that they begin until then is due
 // a whole answer. Callers end some time after the node has.
-func (d *Deployment) ShutDown(ctx context.Context, n *Node, callers int, lag time.Duration, req *caller.QueryRequest) *Shutdown {
-	var saw Shutdown
+func (d *Deployment) ShutDownUnderLoad(ctx context.Context, n *Node, callers int, lag time.Duration, req *caller.QueryRequest) *ShutdownResult {
+	var saw ShutdownResult
 	var mu sync.Mutex
 	var asking sync.WaitGroup
 	ctx, stop := context.WithCancel(ctx)
@@ -158,16 +158,16 @@
 	return &saw
 }
 
-func (s *Shutdown) note(due bool, answer *caller.Answer, err error) {
+func (s *ShutdownResult) note(due bool, answer *caller.Answer, err error) {
 	switch {
 	case err == nil && answer.Outcome == query.Complete:
 		s.Complete++
 	case err == nil && answer.Outcome == query.Partial:
-		s.Cut = append(s.Cut, fmt.Sprintf("partial, absent %v", answer.Absent))
+		s.Interrupted = append(s.Interrupted, fmt.Sprintf("partial, absent %v", answer.Absent))
 	case due && err != nil:
-		s.Cut = append(s.Cut, err.Error())
+		s.Interrupted = append(s.Interrupted, err.Error())
 	case due:
-		s.Cut = append(s.Cut, fmt.Sprintf("%s: %s", answer.Outcome, answer.Reason))
+		s.Interrupted = append(s.Interrupted, fmt.Sprintf("%s: %s", answer.Outcome, answer.Reason))
 	default:
 		s.Late++
 	}
--- a/node/deployment/deployment.go
+++ b/node/deployment/deployment.go
@@ -46,9 +46,9 @@
 	Backend func(o *backend.Options)
 	// Settings may change the settings of one node before it starts.
 	Settings func(s *pb.Settings)
-	// Wrap puts something between the parts of each node.
-	Wrap node.Wrap
-	Log  logrus.FieldLogger
+	// Wrappers puts something between the parts of each node.
+	Wrappers node.Wrappers
+	Log      logrus.FieldLogger
 	// Network replaces TCP on loopback, for tests in virtual time. Its hosts are
 	// the data centres, and PlatformHost and CallerHost.
 	Network *memnet.Network
--- a/node/deployment/nodes.go
+++ b/node/deployment/nodes.go
@@ -125,7 +125,7 @@
 func (n *Node) Start(ctx context.Context) error {
 	d := n.deployment
 	dc := n.Settings.GetDataCentre()
-	started, err := node.NewWrapped(n.Settings, d.Log, d.dialer(dc), d.Wrap)
+	started, err := node.NewWithWrappers(n.Settings, d.Log, d.dialer(dc), d.Wrappers)
 	if err != nil {
 		return err
 	}
--- a/node/node/node.go
+++ b/node/node/node.go
@@ -59,7 +59,7 @@
 	adminServer  *http.Server
 	peerServer   *grpc.Server
 
-	wrap Wrap
+	wrap Wrappers
 
 	// stopping is set when a graceful shutdown has begun.
 	stopping atomic.Bool
@@ -73,11 +73,11 @@
 // New builds a node from checked settings. It opens nothing yet. A nil dialer
 // opens TCP connections.
 func New(settings *pb.Settings, log logrus.FieldLogger, dialer peer.Dialer) (*Node, error) {
-	return NewWrapped(settings, log, dialer, Wrap{})
+	return NewWithWrappers(settings, log, dialer, Wrappers{})
 }
 
-// NewWrapped is New with something put between the node's parts.
-func NewWrapped(settings *pb.Settings, log logrus.FieldLogger, dialer peer.Dialer, wrap Wrap) (*Node, error) {
+// NewWithWrappers is New with something put between the node's parts.
+func NewWithWrappers(settings *pb.Settings, log logrus.FieldLogger, dialer peer.Dialer, wrap Wrappers) (*Node, error) {
 	creds, err := peer.Credentials(settings.GetTls())
 	if err != nil {
 		return nil, err
--- a/node/scenario/batch_test.go
+++ b/node/scenario/batch_test.go
@@ -39,7 +39,7 @@
 // behind them; none reaches the cold one, which would fall over, and what was
 // refused or cut finds another replica. With max_batch 0 it fails: callers wait in
 // queues, and a fifth of their queries are partial or refused.
-func TestBatchesMeetColdStartsAndDrains(t *testing.T) {
+func TestBatchingAnswersInFullDuringColdStartAndDrain(t *testing.T) {
 	virtual(t, batching(t), func(t *testing.T, d *deployment.Deployment) {
 		warmUp(t, d)
 		tr := startTraffic(t, d, 10, d.Nodes...)
@@ -63,7 +63,7 @@
 
 // One caller a node leaves places free: nothing waits, so no subrequest shares a
 // call, and coalescing costs nobody a moment.
-func TestFreePlacesSendAtOnce(t *testing.T) {
+func TestSubrequestsAreNotBatchedWhileSlotsAreFree(t *testing.T) {
 	o := batching(t)
 	o.Sheet.Services[0].Connections = 30
 	virtual(t, o, func(t *testing.T, d *deployment.Deployment) {
--- a/node/scenario/broken_test.go
+++ b/node/scenario/broken_test.go
@@ -77,16 +77,16 @@
 	out.DataCentres[0].State = pb.Lifecycle_LIFECYCLE_OUT
 	qt.Assert(t, d.Publish(t.Context(), out), qt.IsNil)
 	time.Sleep(deployment.LeaveGrace)
-	return d.NewWork(func() { time.Sleep(time.Second) }, d.ReplicasIn(out.DataCentres[0].GetName())...)
+	return d.RequestsDuring(func() { time.Sleep(time.Second) }, d.ReplicasIn(out.DataCentres[0].GetName())...)
 }
 
 // The check that whatever leaves gets no new work must fail when nodes do not
 // follow the sheet, fall back to an old one, or do not hear a backend server.
-func TestLeavingChecksCatchBrokenVariants(t *testing.T) {
+func TestLeavingChecksDetectBrokenVariants(t *testing.T) {
 	broken := func(index func(func() *config.Index) func() *config.Index) deployment.Options {
-		return deployment.Options{Sheet: kenya(t, "timing"), NodesPerDataCentre: 1, Wrap: node.Wrap{Index: index}}
+		return deployment.Options{Sheet: kenya(t, "timing"), NodesPerDataCentre: 1, Wrappers: node.Wrappers{Index: index}}
 	}
-	heardNothing := deployment.Options{Sheet: kenya(t, "timing"), NodesPerDataCentre: 1, Wrap: node.Wrap{
+	heardNothing := deployment.Options{Sheet: kenya(t, "timing"), NodesPerDataCentre: 1, Wrappers: node.Wrappers{
 		Backend: func(b owner.Backend) owner.Backend { return deaf{b} },
 	}}
 	by := func(leave func(*testing.T, *deployment.Deployment)) func(*testing.T, *deployment.Deployment) map[string]uint64 {
@@ -117,7 +117,7 @@
 // A node that refuses callers before the balancer has noticed, and one that does
 // not wait for requests in flight, must both be caught by the check of a graceful
 // shutdown.
-func TestShutdownCheckCatchesBrokenVariants(t *testing.T) {
+func TestShutdownCheckDetectsBrokenVariants(t *testing.T) {
 	for name, change := range map[string]func(*pb.Timing){
 		"refuses at once":  func(timing *pb.Timing) { timing.BalancerLagMs = proto.Uint32(0) },
 		"waits for no one": func(timing *pb.Timing) { timing.DrainTimeoutMs = 0 },
@@ -126,8 +126,8 @@
 			o := deployment.Options{Sheet: kenya(t, "timing"), Backend: longWork, Settings: timed(change)}
 			virtual(t, o, func(t *testing.T, d *deployment.Deployment) {
 				saw := shutDown(t, d)
-				qt.Assert(t, saw.Cut, qt.Not(qt.HasLen), 0, qt.Commentf("the broken variant was not caught"))
-				t.Log(saw.Cut[0])
+				qt.Assert(t, saw.Interrupted, qt.Not(qt.HasLen), 0, qt.Commentf("the broken variant was not caught"))
+				t.Log(saw.Interrupted[0])
 			})
 		})
 	}
--- a/node/scenario/caller_test.go
+++ b/node/scenario/caller_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-func TestBadInputIsRefusedWithTheFieldAtFault(t *testing.T) {
+func TestInvalidRequestErrorNamesField(t *testing.T) {
 	d := start(t, deployment.Options{Sheet: kenya(t, "timing"), NodesPerDataCentre: 1})
 	addr := d.Nodes[0].Settings.GetCallerAddress()
 	cases := []struct {
@@ -73,10 +73,10 @@
 	}
 }
 
-// TestShortDeadlineGetsAnHonestAnswer guards against an error after the fact where a caller
+// TestShortDeadlineIsRefusedOrAnsweredInPart guards against an error after the fact where a caller
 // allows less time than a backend server takes: it is refused as not run, or gets a partial
 // answer that names the shards that missed the deadline.
-func TestShortDeadlineGetsAnHonestAnswer(t *testing.T) {
+func TestShortDeadlineIsRefusedOrAnsweredInPart(t *testing.T) {
 	virtual(t, deployment.Options{Sheet: kenya(t, "timing"), NodesPerDataCentre: 1}, func(t *testing.T, d *deployment.Deployment) {
 		c := qt.New(t)
 		req := timingQuery()
--- a/node/scenario/change_test.go
+++ b/node/scenario/change_test.go
@@ -60,7 +60,7 @@
 	})
 	c.Assert(err, qt.IsNil)
 	time.Sleep(time.Until(left.Add(deployment.LeaveGrace)))
-	work := d.NewWork(func() {
+	work := d.RequestsDuring(func() {
 		answer, _, err := d.Query(t.Context(), d.Nodes[0].Settings.GetCallerAddress(), timingQuery())
 		c.Assert(err, qt.IsNil)
 		c.Assert(answer.Coverage, qt.Equals, 1.0, qt.Commentf("an unready entry node still answers"))
@@ -70,7 +70,7 @@
 
 	back := time.Now()
 	c.Assert(d.Publish(t.Context(), d.Sheet), qt.IsNil)
-	work = d.NewWork(func() { time.Sleep(2 * time.Second) }, d.ReplicasIn(gone)...)
+	work = d.RequestsDuring(func() { time.Sleep(2 * time.Second) }, d.ReplicasIn(gone)...)
 	c.Assert(work, qt.Not(qt.HasLen), 0)
 	answers := tr.end()
 	t.Logf("quiet:  %s", summarise(answers, left.Add(-time.Second), left))
@@ -105,11 +105,11 @@
 	name := leaver(d.Sheet).GetName()
 	old := &pb.ReplicaNews{Replica: name, OldestSnapshot: 1, NewestSnapshot: 1, State: pb.ReplicaState_REPLICA_STATE_WARM, Limit: 1}
 	first := d.FirstOwner(t.Context(), name)
-	arrive := func() { qt.Assert(t, d.TellAll(t.Context(), first, "timing", old), qt.IsNil) }
+	arrive := func() { qt.Assert(t, d.ReplayReplicaReport(t.Context(), first, "timing", old), qt.IsNil) }
 	arrive()
 	leave(t, d)
 	time.Sleep(deployment.LeaveGrace)
-	return d.NewWork(func() {
+	return d.RequestsDuring(func() {
 		for range 2 {
 			arrive()
 			time.Sleep(time.Second)
@@ -141,10 +141,10 @@
 				leaving := leaver(d.Sheet).GetName()
 				d.Backends[leaving].Restart()
 				c.Assert(d.Publish(t.Context(), d.Sheet), qt.IsNil)
-				work := d.NewWork(func() { time.Sleep(v.warms) }, leaving)
+				work := d.RequestsDuring(func() { time.Sleep(v.warms) }, leaving)
 				c.Assert(work[leaving] > 20, qt.IsTrue, qt.Commentf("work again: %v", work))
 				sibling := d.Sheet.GetServices()[0].GetGenerations()[0].GetShards()[0].GetReplicas()[1].GetName()
-				work = d.NewWork(func() { time.Sleep(time.Second) }, leaving, sibling)
+				work = d.RequestsDuring(func() { time.Sleep(time.Second) }, leaving, sibling)
 				c.Assert(4*work[leaving] > work[sibling], qt.IsTrue, qt.Commentf("in the second after: %v", work))
 				answers := tr.end()
 				logPartial(t, answers)
@@ -161,7 +161,7 @@
 // from eight nodes. It falls over when it gets more than one request at a time,
 // so its first owner alone may use it, one request after the other, until it has
 // warmed up. Callers get complete answers from its siblings meanwhile.
-func TestUnannouncedColdStart(t *testing.T) {
+func TestUnannouncedColdRestartsKeepAnswersComplete(t *testing.T) {
 	o := deployment.Options{Sheet: kenya(t, "timing")}
 	virtual(t, o, unannouncedColdStart)
 }
--- a/node/scenario/partition_test.go
+++ b/node/scenario/partition_test.go
@@ -40,7 +40,7 @@
 // in the cut-off data centre get what it holds, labelled with its true coverage.
 // Nobody waits for dead peers on each query once they are known to be dead, in
 // under 2 s, and after the cut all answers are complete again.
-func TestPartitionLeavesBothSidesServing(t *testing.T) {
+func TestBothSidesOfPartitionServeQueries(t *testing.T) {
 	o := deployment.Options{Sheet: kenya(t, "timing")}
 	virtual(t, o, func(t *testing.T, d *deployment.Deployment) {
 		c := qt.New(t)
@@ -114,15 +114,15 @@
 }
 
 // shutDown stops a node under load from callers there and elsewhere.
-func shutDown(t *testing.T, d *deployment.Deployment) *deployment.Shutdown {
+func shutDown(t *testing.T, d *deployment.Deployment) *deployment.ShutdownResult {
 	warmUp(t, d)
 	elsewhere := startTraffic(t, d, 1, d.Nodes[1:]...)
 	time.Sleep(time.Second)
 	stopped := time.Now()
-	saw := d.ShutDown(t.Context(), d.Nodes[0], 8, 2*balancerLagMs*time.Millisecond, timingQuery())
+	saw := d.ShutDownUnderLoad(t.Context(), d.Nodes[0], 8, 2*balancerLagMs*time.Millisecond, timingQuery())
 	time.Sleep(time.Second)
 	others := summarise(elsewhere.end(), stopped, time.Now())
-	t.Logf("at the node: %d complete, %d too late, %d cut; elsewhere: %s", saw.Complete, saw.Late, len(saw.Cut), others)
+	t.Logf("at the node: %d complete, %d too late, %d cut; elsewhere: %s", saw.Complete, saw.Late, len(saw.Interrupted), others)
 	qt.Assert(t, others.complete, qt.Equals, others.total)
 	return saw
 }
@@ -134,7 +134,7 @@
 	o := deployment.Options{Sheet: kenya(t, "timing"), Backend: longWork}
 	virtual(t, o, func(t *testing.T, d *deployment.Deployment) {
 		saw := shutDown(t, d)
-		qt.Assert(t, saw.Cut, qt.HasLen, 0)
+		qt.Assert(t, saw.Interrupted, qt.HasLen, 0)
 		qt.Assert(t, saw.Complete > 0 && saw.Late > 0, qt.IsTrue)
 	})
 }
@@ -143,7 +143,7 @@
 // start, when every replica is cold. One shard's replica lies there and nowhere else
 // in service. Callers that come before the balancer notices get that shard too: the
 // node uses its replicas, cold ones included, until it has answered them.
-func TestLastNodeOfADataCentreShutsDownWhole(t *testing.T) {
+func TestLastNodeOfDataCentreShutdownKeepsAnswersComplete(t *testing.T) {
 	sheet := kenya(t, "timing")
 	home := sheet.GetDataCentres()[0].GetName()
 	for _, shard := range sheet.GetServices()[0].GetGenerations()[0].GetShards() {
@@ -155,8 +155,8 @@
 	}
 	virtual(t, deployment.Options{Sheet: sheet, NodesPerDataCentre: 1}, func(t *testing.T, d *deployment.Deployment) {
 		c := qt.New(t)
-		saw := d.ShutDown(t.Context(), d.Nodes[0], 1, 2*balancerLagMs*time.Millisecond, timingQuery())
-		c.Assert(saw.Cut, qt.HasLen, 0)
+		saw := d.ShutDownUnderLoad(t.Context(), d.Nodes[0], 1, 2*balancerLagMs*time.Millisecond, timingQuery())
+		c.Assert(saw.Interrupted, qt.HasLen, 0)
 		c.Assert(saw.Complete > 0, qt.IsTrue)
 		for name, server := range d.Backends {
 			c.Check(server.Counts().ColdViolations, qt.Equals, uint64(0), qt.Commentf("%s", name))
--- a/node/scenario/restart_test.go
+++ b/node/scenario/restart_test.go
@@ -16,7 +16,7 @@
 // Every node is replaced in turn while callers pay fees. A node that shuts down
 // is served callers until its balancer notices. No fee is cut: none is unknown
 // or unanswered, and each that was told "complete" was taken once.
-func TestRollingRestartCutsNoFee(t *testing.T) {
+func TestRollingRestartInterruptsNoFee(t *testing.T) {
 	virtualWrites(t, desk(), rollingRestart)
 }
 
@@ -73,7 +73,7 @@
 // silent, so the owners' queues stand still. A fee that only ever waited in a queue
 // has not run; its claim must say so once its deadline has passed, or the caller's
 // retries would be told the first "unknown" for ever. They start anew instead.
-func TestFeeThatOnlyQueuedFreesItsKey(t *testing.T) {
+func TestFeeThatOnlyQueuedReleasesItsKey(t *testing.T) {
 	virtualWrites(t, desk(), onlyQueued)
 }
 
--- a/node/scenario/silent_test.go
+++ b/node/scenario/silent_test.go
@@ -19,7 +19,7 @@
 // one of them is replaced. They fall over when more than one request is there, also at the
 // moment of the turn. The sheet says that they may do this, so one owner alone has
 // one request there, warm or not. Callers get complete answers all the while.
-func TestBackendServersTurnColdUnseen(t *testing.T) {
+func TestSilentColdStartsCauseNoOverload(t *testing.T) {
 	sheet := kenya(t, "timing")
 	sheet.GetServices()[0].SilentColdStart = true
 	o := deployment.Options{Sheet: sheet, Backend: func(o *backend.Options) { o.Cold.Factor = coldFactor }}
--- a/node/scenario/snapshot_test.go
+++ b/node/scenario/snapshot_test.go
@@ -25,7 +25,7 @@
 
 // The index moves to a new snapshot each minute while queries run. Under 1% of them
 // start over, and all are complete.
-func TestOneFlipAMinuteRestartsFewQueries(t *testing.T) {
+func TestSnapshotChangeRestartsFewQueries(t *testing.T) {
 	o := deployment.Options{Sheet: kenya(t, "timing")}
 	virtual(t, o, func(t *testing.T, d *deployment.Deployment) {
 		c := qt.New(t)
@@ -47,7 +47,7 @@
 // answer comes from one snapshot (startTraffic checks every row) and is complete:
 // a query is pinned to a snapshot that all shards hold, and one whose snapshot
 // is dropped beneath it starts over at a newer one.
-func TestSnapshotFlipsBeneathQueries(t *testing.T) {
+func TestSnapshotChangesKeepAnswersConsistent(t *testing.T) {
 	o := deployment.Options{Sheet: kenya(t, "timing")}
 	virtual(t, o, func(t *testing.T, d *deployment.Deployment) {
 		c := qt.New(t)
@@ -89,7 +89,7 @@
 // Operators accept a new partitioning while queries run: five shards in place of
 // ten, from snapshot 2 on. Replicas take snapshot 2 up one after the other.
 // Callers get whole answers of ten shards, then of five, never a mixture.
-func TestRepartitioningBeneathQueries(t *testing.T) {
+func TestRepartitioningKeepsAnswersConsistent(t *testing.T) {
 	o := deployment.Options{Sheet: kenya(t, "timing")}
 	virtual(t, o, func(t *testing.T, d *deployment.Deployment) {
 		c := qt.New(t)
--- a/node/scenario/writes_partition_test.go
+++ b/node/scenario/writes_partition_test.go
@@ -57,7 +57,7 @@
 // hardly notice, and every connection that was in use over it stays silent for
 // good. Callers who pay fees without keys cannot repeat them, so "unknown" is the
 // worst answer: only fees that were on their way at the cut may get it.
-func TestFeesOverSilentPeerConnections(t *testing.T) {
+func TestSilentPeerConnectionsCauseNoLateUnknown(t *testing.T) {
 	virtualWrites(t, desk(), func(t *testing.T, w *writes) {
 		stop := make(chan struct{})
 		var sent []sentFee
--- a/node/scenario/writes_test.go
+++ b/node/scenario/writes_test.go
@@ -173,7 +173,7 @@
 // it and within the reply, the platform loses answers and writes, and one node
 // is killed with what it has in flight. No fee is taken twice, none that was
 // told "complete" is missing, and no "not run" is false.
-func TestFeesUnderFaultsAreTakenAtMostOnce(t *testing.T) {
+func TestFeesUnderFaultsRunAtMostOnce(t *testing.T) {
 	eachProtocol(t, feesUnderFaults)
 }
 
@@ -240,7 +240,7 @@
 // One fee is submitted to every node at once, twice, while the platform loses
 // the answers to the claims. It is taken once; whoever is not told so is told
 // "unknown" with a time to come back, and learns it then.
-func TestDuplicatesOnManyNodesWithLostClaimAnswers(t *testing.T) {
+func TestDuplicateFeesRunOnceWhenClaimAnswersAreLost(t *testing.T) {
 	virtualWrites(t, desk(), duplicatesWithLostAnswers)
 }
 
@@ -305,7 +305,7 @@
 // A fee is at a backend server when the node that owns the replica dies. The
 // caller, at another node, is told "unknown" when the connection between the
 // nodes breaks, not at its deadline, and its retry never makes the fee run again.
-func TestOwnerDiesWithAFeeInFlight(t *testing.T) {
+func TestOwnerLossReportsFeeInFlightAsUnknown(t *testing.T) {
 	virtualWrites(t, desk(), ownerDies)
 }
 
