--- a/node/admin/admin.go
+++ b/node/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves operators on a listener of its own, apart from callers:
-// liveness, readiness, metrics, status, the decision ring and profiles.
+// Package admin serves the operator endpoints on a listener separate from the callers'
+// one: liveness, readiness, metrics, status, the decision ring and profiles.
 package admin
 
 import (
@@ -14,21 +14,22 @@
 	"github.com/carobmill/carobmill/node/ring"
 )
 
-// Status describes this node, or the whole fleet.
+// Status returns the status of this node, or of every node of the fleet.
 type Status interface {
 	NodeStatus(ctx context.Context, fleet bool) []*pb.NodeStatus
 }
 
-// Options are the parts that the admin interface is built from.
+// Options are the components that the admin endpoints read.
 type Options struct {
-	// Ready reports whether the balancer may send callers here, and why not.
+	// Ready reports whether a load balancer may send callers to this node, and the
+	// reason if not.
 	Ready   func() (bool, string)
 	Status  Status
 	Ring    *ring.Ring
 	Metrics http.Handler
 }
 
-// NewHandler returns the handler of the admin interface.
+// NewHandler returns the HTTP handler of the admin endpoints.
 func NewHandler(o Options) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
@@ -53,7 +54,7 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// status answers GET /status, and GET /status?fleet=true for every member.
+// status serves GET /status, and GET /status?fleet=true for every member.
 func (o Options) status(w http.ResponseWriter, r *http.Request) {
 	nodes := o.Status.NodeStatus(r.Context(), r.URL.Query().Get("fleet") == "true")
 	body, err := protojson.Marshal(&pb.StatusResponse{Nodes: nodes})
@@ -65,7 +66,7 @@
 	_, _ = w.Write(body)
 }
 
-// decisions answers GET /decisions, with ?subject= for one subject.
+// decisions serves GET /decisions; ?subject= limits the result to one subject.
 func (o Options) decisions(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(o.Ring.Decisions(r.URL.Query().Get("subject")))
