--- a/node/peer/briefresults.go
+++ b/node/peer/briefresults.go
@@ -10,105 +10,107 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// ErrMalformed is returned for a message between nodes that contradicts itself or
-// exceeds a bound: columns of different lengths, an attempt that comes twice, too
-// many subrequests or too long a name.
+// ErrMalformed is returned for a message between nodes that is inconsistent or exceeds a
+// bound: columns of different lengths, a duplicate attempt, too many subrequests or too
+// long a name.
 var ErrMalformed = errors.New("malformed message")
 
-// answered is a result and the subrequest that it was given for.
-type answered struct {
+// attemptResult is a result with the subrequest for which the owner returned it.
+type attemptResult struct {
 	sub    *pb.Subrequest
 	result *pb.SubrequestResult
 }
 
-// exact reports whether the result names what was asked.
-func (a answered) exact() bool {
+// matches reports whether the result names the attempt, shard and replica of the
+// subrequest.
+func (a attemptResult) matches() bool {
 	return a.result.GetAttempt() == a.sub.GetAttempt() &&
 		a.result.GetShard() == a.sub.GetShard() &&
 		a.result.GetReplica() == a.sub.GetReplica()
 }
 
-// ordinary reports whether a result says no more than BriefResults can. One that
-// crossed inside this node goes out with the names it has, for the sender to drop.
-func (a answered) ordinary() bool {
+// encodable reports whether BriefResults can represent the result. A result that does not
+// match its subrequest is sent with the names in the result, so that the receiver discards
+// it.
+func (a attemptResult) encodable() bool {
 	r := a.result
 	news := r.GetNews()
 	return r.GetReason() == pb.Reason_REASON_UNSPECIFIED &&
 		r.GetEvidence() == pb.Evidence_EVIDENCE_RAN &&
 		news.GetState() == pb.ReplicaState_REPLICA_STATE_WARM &&
 		news.GetReplica() == r.GetReplica() &&
-		a.exact()
+		a.matches()
 }
 
-// briefWriter puts results into one message: ordinary ones into columns, others as
-// they are.
+// briefWriter writes results into one message: as BriefResults where these can represent
+// the result, otherwise as SubrequestResult.
 type briefWriter struct {
-	into *pb.ScatterResponse
-	// first is the lowest attempt of the request.
-	first uint64
-	// room is how many results there are.
-	room int
+	message *pb.ScatterResponse
+	// firstAttempt is the lowest attempt of the request.
+	firstAttempt uint64
+	// capacity is the initial capacity of the columns.
+	capacity int
 }
 
-func (w *briefWriter) write(results []answered) {
-	w.room = len(results)
+func (w *briefWriter) write(results []attemptResult) {
+	w.capacity = len(results)
 	for _, a := range results {
-		if a.ordinary() && w.fits(a.result) {
+		if a.encodable() && w.sharesCommonFields(a.result) {
 			w.add(a)
 			continue
 		}
-		w.into.Results = append(w.into.Results, a.result)
+		w.message.Results = append(w.message.Results, a.result)
 	}
 }
 
-func (w *briefWriter) add(a answered) {
-	b, r := w.into.GetBrief(), a.result
+func (w *briefWriter) add(a attemptResult) {
+	b, r := w.message.GetBrief(), a.result
 	b.Attempts = append(b.Attempts, uint32(r.GetAttempt()-b.GetFirstAttempt()))
-	b.Checks = append(b.Checks, check(a.sub))
+	b.Checks = append(b.Checks, checksum(a.sub))
 	b.Sizes = append(b.Sizes, uint32(len(r.GetResult())))
 	b.Results = append(b.Results, r.GetResult()...)
-	b.ServiceUs = append(b.ServiceUs, clip(r.GetServiceUs()))
-	b.QueueUs = append(b.QueueUs, clip(r.GetQueueUs()))
+	b.ServiceUs = append(b.ServiceUs, clampUint32(r.GetServiceUs()))
+	b.QueueUs = append(b.QueueUs, clampUint32(r.GetQueueUs()))
 	b.InFlight = append(b.InFlight, r.GetNews().GetInFlight())
 	b.Limits = append(b.Limits, r.GetNews().GetLimit())
 }
 
-// fits reports whether a result has in common what the results before it have; the
-// first one decides.
-func (w *briefWriter) fits(r *pb.SubrequestResult) bool {
-	if w.into.GetBrief() == nil {
-		w.into.Brief = w.begin(r)
+// sharesCommonFields reports whether a result has the values that BriefResults stores once
+// for all results. The first result of the message sets these values.
+func (w *briefWriter) sharesCommonFields(r *pb.SubrequestResult) bool {
+	if w.message.GetBrief() == nil {
+		w.message.Brief = w.newColumns(r)
 	}
-	b, news := w.into.GetBrief(), r.GetNews()
+	b, news := w.message.GetBrief(), r.GetNews()
 	return b.GetSnapshot() == r.GetSnapshot() && b.GetGeneration() == r.GetGeneration() &&
 		b.GetOldestSnapshot() == news.GetOldestSnapshot() && b.GetNewestSnapshot() == news.GetNewestSnapshot() &&
 		r.GetAttempt()-b.GetFirstAttempt() <= math.MaxUint32
 }
 
-func (w *briefWriter) begin(r *pb.SubrequestResult) *pb.BriefResults {
+func (w *briefWriter) newColumns(r *pb.SubrequestResult) *pb.BriefResults {
 	return &pb.BriefResults{
 		Snapshot:       r.GetSnapshot(),
 		Generation:     r.GetGeneration(),
 		OldestSnapshot: r.GetNews().GetOldestSnapshot(),
 		NewestSnapshot: r.GetNews().GetNewestSnapshot(),
-		FirstAttempt:   w.first,
-		Attempts:       make([]uint32, 0, w.room),
-		Checks:         make([]uint32, 0, w.room),
-		Sizes:          make([]uint32, 0, w.room),
-		Results:        make([]byte, 0, w.room*len(r.GetResult())),
-		ServiceUs:      make([]uint32, 0, w.room),
-		QueueUs:        make([]uint32, 0, w.room),
-		InFlight:       make([]uint32, 0, w.room),
-		Limits:         make([]uint32, 0, w.room),
+		FirstAttempt:   w.firstAttempt,
+		Attempts:       make([]uint32, 0, w.capacity),
+		Checks:         make([]uint32, 0, w.capacity),
+		Sizes:          make([]uint32, 0, w.capacity),
+		Results:        make([]byte, 0, w.capacity*len(r.GetResult())),
+		ServiceUs:      make([]uint32, 0, w.capacity),
+		QueueUs:        make([]uint32, 0, w.capacity),
+		InFlight:       make([]uint32, 0, w.capacity),
+		Limits:         make([]uint32, 0, w.capacity),
 	}
 }
 
-func clip(us uint64) uint32 { return uint32(min(us, math.MaxUint32)) }
+func clampUint32(us uint64) uint32 { return uint32(min(us, math.MaxUint32)) }
 
-// check is a hash (FNV-1a, 32 bits) of a subrequest's attempt, shard and replica. A
-// result carries it in place of the names, as the proof that it was given for this
-// subrequest.
-func check(sub *pb.Subrequest) uint32 {
+// checksum returns a 32-bit FNV-1a hash of a subrequest's attempt, shard and replica. A
+// brief result has the checksum in place of the names. The receiver uses it to verify that
+// the result belongs to the subrequest.
+func checksum(sub *pb.Subrequest) uint32 {
 	const (
 		offset       = 2166136261
 		prime        = 16777619
@@ -129,11 +131,11 @@
 	return sum
 }
 
-// asked is the subrequests of one message, by attempt.
-type asked []*pb.Subrequest
+// subrequestList is the subrequests of one message, sorted by attempt.
+type subrequestList []*pb.Subrequest
 
-// find returns the place of an attempt, -1 when it was not asked for.
-func (a asked) find(attempt uint64) int {
+// index returns the index of an attempt, or -1 if the list does not contain the attempt.
+func (a subrequestList) index(attempt uint64) int {
 	i, ok := slices.BinarySearchFunc(a, attempt, func(sub *pb.Subrequest, attempt uint64) int {
 		return cmp.Compare(sub.GetAttempt(), attempt)
 	})
@@ -143,20 +145,20 @@
 	return i
 }
 
-// results writes brief results out. A result whose attempt was not asked for, or
-// whose check fails, keeps the attempt it claims but gets no names, so that the
-// query drops it as late or crossed, and counts it.
-func (a asked) results(b *pb.BriefResults) ([]*pb.SubrequestResult, error) {
+// decodeResults decodes brief results. A result with an unknown attempt or a wrong checksum
+// has its attempt but no names, so that the query discards and counts it. Otherwise a late
+// or swapped result could put rows of another shard or query into an answer.
+func (a subrequestList) decodeResults(b *pb.BriefResults) ([]*pb.SubrequestResult, error) {
 	n := len(b.GetAttempts())
-	if !whole(b, n) {
-		return nil, errors.Wrap(ErrMalformed, "brief results")
+	if !consistent(b, n) {
+		return nil, errors.Wrap(ErrMalformed, "inconsistent columns of brief results")
 	}
-	// One array each in place of two objects a result.
+	// Two arrays replace two allocations per result.
 	results, news := make([]pb.SubrequestResult, n), make([]pb.ReplicaNews, n)
 	list := make([]*pb.SubrequestResult, n)
 	body := b.GetResults()
 	for i := range list {
-		r, of := &results[i], &news[i]
+		r, report := &results[i], &news[i]
 		list[i] = r
 		r.Attempt = b.GetFirstAttempt() + uint64(b.GetAttempts()[i])
 		r.Evidence = pb.Evidence_EVIDENCE_RAN
@@ -164,22 +166,22 @@
 		size := b.GetSizes()[i]
 		r.Result, body = body[:size:size], body[size:]
 		r.ServiceUs, r.QueueUs = uint64(b.GetServiceUs()[i]), uint64(b.GetQueueUs()[i])
-		at := a.find(r.GetAttempt())
-		if at < 0 || check(a[at]) != b.GetChecks()[i] {
+		j := a.index(r.GetAttempt())
+		if j < 0 || checksum(a[j]) != b.GetChecks()[i] {
 			continue
 		}
-		sub := a[at]
-		r.Shard, r.Replica, r.News = sub.GetShard(), sub.GetReplica(), of
-		of.Replica, of.State = sub.GetReplica(), pb.ReplicaState_REPLICA_STATE_WARM
-		of.OldestSnapshot, of.NewestSnapshot = b.GetOldestSnapshot(), b.GetNewestSnapshot()
-		of.InFlight, of.Limit = b.GetInFlight()[i], b.GetLimits()[i]
+		sub := a[j]
+		r.Shard, r.Replica, r.News = sub.GetShard(), sub.GetReplica(), report
+		report.Replica, report.State = sub.GetReplica(), pb.ReplicaState_REPLICA_STATE_WARM
+		report.OldestSnapshot, report.NewestSnapshot = b.GetOldestSnapshot(), b.GetNewestSnapshot()
+		report.InFlight, report.Limit = b.GetInFlight()[i], b.GetLimits()[i]
 	}
 	return list, nil
 }
 
-// whole reports whether every column holds n values and the sizes make up the
-// results.
-func whole(b *pb.BriefResults, n int) bool {
+// consistent reports whether every column has n values and the sizes add up to the length
+// of the results.
+func consistent(b *pb.BriefResults, n int) bool {
 	var size uint64
 	for _, s := range b.GetSizes() {
 		size += uint64(s)
--- a/node/peer/briefsubrequests.go
+++ b/node/peer/briefsubrequests.go
@@ -11,16 +11,18 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// maxName bounds a name in brief subrequests, so that a damaged message cannot grow
-// without bound while it is written out. Longer names go as ordinary subrequests.
-const maxName = 512
+// maxNameBytes bounds a name in BriefSubrequests. Without a bound, a small malformed message
+// can decode to names of any total size. Subrequests with longer names are sent as
+// Subrequest.
+const maxNameBytes = 512
 
-// maxBrief bounds the subrequests of a brief message, for the same reason.
-const maxBrief = 1 << 16
+// maxBriefSubrequests bounds the subrequests of one message, for the same reason.
+const maxBriefSubrequests = 1 << 16
 
-// brief puts subrequests into columns; nil when they do not fit.
-func (a asked) brief() *pb.BriefSubrequests {
-	if len(a) == 0 || len(a) > maxBrief {
+// encode returns the subrequests as BriefSubrequests, or nil if these cannot represent the
+// subrequests.
+func (a subrequestList) encode() *pb.BriefSubrequests {
+	if len(a) == 0 || len(a) > maxBriefSubrequests {
 		return nil
 	}
 	b := &pb.BriefSubrequests{
@@ -29,22 +31,22 @@
 		Kept:         make([]uint32, 0, 2*len(a)),
 		Added:        make([]uint32, 0, 2*len(a)),
 	}
-	before := ""
+	previous := ""
 	for i, sub := range a {
-		beyond := sub.GetAttempt() - b.GetFirstAttempt()
-		if beyond > math.MaxUint32 {
+		offset := sub.GetAttempt() - b.GetFirstAttempt()
+		if offset > math.MaxUint32 {
 			return nil
 		}
-		b.Attempts = append(b.Attempts, uint32(beyond))
+		b.Attempts = append(b.Attempts, uint32(offset))
 		for _, name := range [...]string{sub.GetShard(), sub.GetReplica()} {
-			if len(name) > maxName {
+			if len(name) > maxNameBytes {
 				return nil
 			}
-			kept := shared(before, name)
+			kept := commonPrefix(previous, name)
 			b.Kept = append(b.Kept, uint32(kept))
 			b.Added = append(b.Added, uint32(len(name)-kept))
 			b.Names = append(b.Names, name[kept:]...)
-			before = name
+			previous = name
 		}
 		if sub.GetExtra() {
 			b.Extra = append(b.Extra, uint32(i))
@@ -53,8 +55,8 @@
 	return b
 }
 
-// shared returns the number of bytes at the start that two names have in common.
-func shared(a, b string) int {
+// commonPrefix returns the length in bytes of the common prefix of two names.
+func commonPrefix(a, b string) int {
 	n := min(len(a), len(b))
 	for i := range n {
 		if a[i] != b[i] {
@@ -64,18 +66,18 @@
 	return n
 }
 
-// subrequests writes brief subrequests out.
-func subrequests(b *pb.BriefSubrequests) (asked, error) {
+// decodeSubrequests decodes brief subrequests.
+func decodeSubrequests(b *pb.BriefSubrequests) (subrequestList, error) {
 	n := len(b.GetAttempts())
-	if n > maxBrief {
-		return nil, errors.Wrap(ErrMalformed, "number of subrequests")
+	if n > maxBriefSubrequests {
+		return nil, errors.Wrap(ErrMalformed, "too many subrequests")
 	}
-	names, err := writtenOut(b, 2*n)
+	names, err := decodeNames(b, 2*n)
 	if err != nil {
 		return nil, err
 	}
-	// One array in place of an object a subrequest.
-	subs, list := make([]pb.Subrequest, n), make(asked, n)
+	// One array replaces one allocation per subrequest.
+	subs, list := make([]pb.Subrequest, n), make(subrequestList, n)
 	for i := range list {
 		list[i] = &subs[i]
 		list[i].Attempt = b.GetFirstAttempt() + uint64(b.GetAttempts()[i])
@@ -83,46 +85,46 @@
 	}
 	for _, i := range b.GetExtra() {
 		if int(i) >= n {
-			return nil, errors.Wrap(ErrMalformed, "position of an extra subrequest")
+			return nil, errors.Wrap(ErrMalformed, "index of an extra subrequest out of range")
 		}
 		list[i].Extra = true
 	}
 	return list, nil
 }
 
-// writtenOut returns the names of brief subrequests as parts of one string.
-func writtenOut(b *pb.BriefSubrequests, n int) ([]string, error) {
+// decodeNames returns the n names of brief subrequests as substrings of one string.
+func decodeNames(b *pb.BriefSubrequests, n int) ([]string, error) {
 	if len(b.GetKept()) != n || len(b.GetAdded()) != n {
-		return nil, errors.Wrap(ErrMalformed, "names of subrequests")
+		return nil, errors.Wrap(ErrMalformed, "wrong number of names")
 	}
 	size := 0
 	for i := range n {
 		kept, added := b.GetKept()[i], b.GetAdded()[i]
-		if kept > maxName || added > maxName || kept+added > maxName {
-			return nil, errors.Wrap(ErrMalformed, "length of a name")
+		if kept > maxNameBytes || added > maxNameBytes || kept+added > maxNameBytes {
+			return nil, errors.Wrap(ErrMalformed, "name too long")
 		}
 		size += int(kept + added)
 	}
-	text, left := make([]byte, 0, size), b.GetNames()
-	before := 0
+	text, remaining := make([]byte, 0, size), b.GetNames()
+	previousStart := 0
 	for i := range n {
 		kept, added := int(b.GetKept()[i]), int(b.GetAdded()[i])
-		if before+kept > len(text) || added > len(left) {
-			return nil, errors.Wrap(ErrMalformed, "part of a name")
+		if previousStart+kept > len(text) || added > len(remaining) {
+			return nil, errors.Wrap(ErrMalformed, "name refers to missing bytes")
 		}
 		start := len(text)
-		text = append(text, text[before:before+kept]...)
-		text = append(text, left[:added]...)
-		left, before = left[added:], start
+		text = append(text, text[previousStart:previousStart+kept]...)
+		text = append(text, remaining[:added]...)
+		remaining, previousStart = remaining[added:], start
 	}
-	// Names go into messages and logs, which take only valid text.
-	if len(left) > 0 || !utf8.Valid(text) {
-		return nil, errors.Wrap(ErrMalformed, "text of the names")
+	// Names are written to messages and logs, which accept only valid UTF-8.
+	if len(remaining) > 0 || !utf8.Valid(text) {
+		return nil, errors.Wrap(ErrMalformed, "names have surplus bytes or invalid UTF-8")
 	}
-	return cut(string(text), b), nil
+	return splitNames(string(text), b), nil
 }
 
-func cut(text string, b *pb.BriefSubrequests) []string {
+func splitNames(text string, b *pb.BriefSubrequests) []string {
 	names := make([]string, len(b.GetKept()))
 	for i := range names {
 		size := int(b.GetKept()[i] + b.GetAdded()[i])
@@ -131,8 +133,8 @@
 	return names
 }
 
-// sorted returns subrequests in the order of their attempts.
-func sorted(subs []*pb.Subrequest) asked {
+// sortedByAttempt returns the subrequests sorted by attempt. It does not modify subs.
+func sortedByAttempt(subs []*pb.Subrequest) subrequestList {
 	byAttempt := func(a, b *pb.Subrequest) int {
 		return cmp.Compare(a.GetAttempt(), b.GetAttempt())
 	}
--- a/node/peer/client.go
+++ b/node/peer/client.go
@@ -12,13 +12,13 @@
 	"github.com/carobmill/carobmill/node/fleet"
 )
 
-// ErrUnresponsive is returned when a peer shows no sign of life.
-var ErrUnresponsive = errors.New("peer is silent")
+// ErrUnresponsive is returned when a peer sends no message within firstMessageTimeout.
+var ErrUnresponsive = errors.New("peer did not respond in time")
 
-// statusTimeout bounds asking one member for its status.
+// statusTimeout bounds a status request to one member.
 const statusTimeout = time.Second
 
-// Envelopes makes and checks the envelopes of messages.
+// Envelopes creates the envelopes of messages and checks received ones.
 type Envelopes interface {
 	Envelope() *pb.Envelope
 	Receive(*pb.Envelope) error
@@ -26,27 +26,27 @@
 
 // Client sends messages to other nodes. Safe for concurrent use.
 type Client struct {
-	pool      *Pool
-	envelopes Envelopes
-	heard     heard
-	readers   readers
+	pool          *Pool
+	envelopes     Envelopes
+	lastResponses lastResponses
+	briefPeers    briefPeers
 }
 
-// NewClient returns a client over a pool.
+// NewClient returns a client that uses the connections of pool.
 func NewClient(pool *Pool, envelopes Envelopes) *Client {
 	return &Client{pool: pool, envelopes: envelopes}
 }
 
-// receive reads the envelope of an answer; only the first answer of a stream
-// carries one.
-func (c *Client) receive(envelope *pb.Envelope) error {
+// receiveEnvelope checks and applies the envelope of a response. Only the first response
+// of a stream has one.
+func (c *Client) receiveEnvelope(envelope *pb.Envelope) error {
 	if envelope == nil {
 		return nil
 	}
 	return c.envelopes.Receive(envelope)
 }
 
-// Cancel abandons attempts at a peer. It does not wait for the effect.
+// Cancel cancels attempts at a peer. It does not wait until the attempts have ended.
 func (c *Client) Cancel(ctx context.Context, to fleet.Member, attempts []uint64) error {
 	stub, err := c.pool.client(to.PeerAddress)
 	if err != nil {
@@ -56,15 +56,16 @@
 	return errors.Wrap(err, "cancel")
 }
 
-// Execute runs a non-idempotent request at a peer, sent once. A call that breaks
-// off after its first byte is EVIDENCE_UNKNOWN.
+// Execute runs a non-idempotent request at a peer. The request is sent at most once. A
+// call that fails has EVIDENCE_NOT_RUN if no byte of the request was sent, otherwise
+// EVIDENCE_UNKNOWN.
 func (c *Client) Execute(ctx context.Context, to fleet.Member, req *pb.ExecuteRequest) *pb.ExecuteResponse {
 	failed := &pb.ExecuteResponse{
 		Attempt:  req.GetAttempt(),
 		Reason:   pb.Reason_REASON_PEER,
 		Evidence: pb.Evidence_EVIDENCE_NOT_RUN,
 	}
-	if !c.prove(ctx, to.PeerAddress) {
+	if !c.verifyConnection(ctx, to.PeerAddress) {
 		return failed
 	}
 	stub, err := c.pool.client(to.PeerAddress)
@@ -75,9 +76,9 @@
 	req.Envelope = c.envelopes.Envelope()
 	resp, err := stub.Execute(ctx, req)
 	if err == nil {
-		c.heard.note(to.PeerAddress)
+		c.lastResponses.record(to.PeerAddress)
 	}
-	if err == nil && c.receive(resp.GetEnvelope()) == nil {
+	if err == nil && c.receiveEnvelope(resp.GetEnvelope()) == nil {
 		return resp
 	}
 	if sent.Load() {
@@ -86,7 +87,7 @@
 	return failed
 }
 
-// Gossip sends a ping.
+// Gossip sends a ping. If the ping fails, the connection is replaced.
 func (c *Client) Gossip(ctx context.Context, addr string, req *pb.GossipRequest) (*pb.GossipResponse, error) {
 	stub, err := c.pool.client(addr)
 	if err != nil {
@@ -97,13 +98,13 @@
 		c.pool.Replace(addr)
 		return nil, errors.Wrap(err, "ping")
 	}
-	c.heard.note(addr)
+	c.lastResponses.record(addr)
 	return resp, nil
 }
 
-// Pull asks a peer for the configuration it has in force. The answer comes
-// compressed: uncompressed, 920 configurations a day of 172 KB would alone take 45%
-// of the 4 KB/s that a node may spend on control traffic at the fleet's target.
+// Pull requests the configuration that a peer has in force. The response is compressed:
+// uncompressed, 920 pulls a day of 172 KB use 45% of the control traffic of 4 KB/s that a
+// node is allowed.
 func (c *Client) Pull(ctx context.Context, addr string, req *pb.PullConfigurationRequest) (*pb.PullConfigurationResponse, error) {
 	stub, err := c.pool.client(addr)
 	if err != nil {
@@ -113,7 +114,7 @@
 	return resp, errors.Wrap(err, "pull configuration")
 }
 
-// ReportReplica tells another owner about replicas.
+// ReportReplica sends reports about replicas to another owner.
 func (c *Client) ReportReplica(ctx context.Context, to fleet.Member, req *pb.ReportReplicaRequest) (*pb.ReportReplicaResponse, error) {
 	stub, err := c.pool.client(to.PeerAddress)
 	if err != nil {
@@ -124,7 +125,7 @@
 	return resp, errors.Wrap(err, "report replica")
 }
 
-// Status asks a member for its own status.
+// Status returns the status that a member reports about itself.
 func (c *Client) Status(ctx context.Context, to fleet.Member) (*pb.NodeStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -137,7 +138,7 @@
 		return nil, errors.Wrap(err, "status")
 	}
 	if len(resp.GetNodes()) == 0 {
-		return nil, errors.New("status is empty")
+		return nil, errors.New("status response contains no node")
 	}
 	return resp.GetNodes()[0], nil
 }
--- a/node/peer/doc.go
+++ b/node/peer/doc.go
@@ -1,4 +1,4 @@
-// Package peer carries messages between the nodes of one fleet over grpc-go: a
-// pool of connections, and the server side. Each message and each answer holds
-// an envelope, which the fleet checks and reads before anything else.
+// Package peer implements the gRPC client and server between the nodes of one fleet,
+// with a pool of connections. Requests and responses carry an envelope, which the
+// fleet checks before the rest of the message is processed.
 package peer
--- a/node/peer/fuzz_test.go
+++ b/node/peer/fuzz_test.go
@@ -23,75 +23,75 @@
 )
 
 const (
-	fuzzMessages = 16
-	fuzzShare    = 4
+	fuzzMessages    = 16
+	fuzzConnections = 4
 )
 
-// loneNode is the fleet and the backend servers of a node that owns one replica in
-// service and one that is out. A backend server takes a millisecond, or for the
-// class "hang" until it is given up.
-type loneNode struct {
+// singleNode fakes the fleet and the backend servers of a node that owns two replicas, one
+// of them in the lifecycle state OUT. A request takes a millisecond; a request of the
+// class "hang" lasts until its context ends.
+type singleNode struct {
 	Fleet
 	owner.Backend
 	index *config.Index
 
-	// mu guards everything below.
-	mu           sync.Mutex
-	running, max int
-	calls        map[string]int
-	wrong        string
+	// mu guards the fields below.
+	mu                    sync.Mutex
+	inFlight, maxInFlight int
+	calls                 map[string]int
+	wrongReplica          string
 }
 
-func newLoneNode() *loneNode {
+func newSingleNode() *singleNode {
 	shard := &pb.Shard{Name: "s", Replicas: []*pb.Replica{
 		{Name: "r", DataCentre: "a", Address: "10.0.0.1:1"},
 		{Name: "out", DataCentre: "a", Address: "10.0.0.2:1", State: pb.Lifecycle_LIFECYCLE_OUT},
 	}}
 	index, err := config.New(&pb.Configuration{Version: 1, Sheet: &pb.Sheet{
 		Fleet: "test", DataCentres: []*pb.DataCentre{{Name: "a"}},
-		Services: []*pb.Service{{Name: "svc", Connections: fuzzShare, ColdInFlight: fuzzShare, Generations: []*pb.Generation{{Id: 1, Shards: []*pb.Shard{shard}}}}},
+		Services: []*pb.Service{{Name: "svc", Connections: fuzzConnections, ColdInFlight: fuzzConnections, Generations: []*pb.Generation{{Id: 1, Shards: []*pb.Shard{shard}}}}},
 	}})
 	if err != nil {
 		panic(err)
 	}
-	return &loneNode{index: index, calls: make(map[string]int)}
+	return &singleNode{index: index, calls: make(map[string]int)}
 }
 
-func (n *loneNode) Envelope() *pb.Envelope { return &pb.Envelope{Fleet: "test"} }
+func (n *singleNode) Envelope() *pb.Envelope { return &pb.Envelope{Fleet: "test"} }
 
-func (n *loneNode) Receive(e *pb.Envelope) error {
+func (n *singleNode) Receive(e *pb.Envelope) error {
 	if e.GetFleet() != "test" {
 		return &fleet.NameMismatchError{Fleet: e.GetFleet()}
 	}
 	return nil
 }
 
-func (n *loneNode) Index() *config.Index                   { return n.index }
-func (n *loneNode) Self() fleet.Member                     { return fleet.Member{Name: "self"} }
-func (n *loneNode) Owners(*config.Replica) []fleet.Member  { return []fleet.Member{n.Self()} }
-func (n *loneNode) MayUseCold(*config.Replica) bool        { return true }
-func (n *loneNode) OwnersPerReplica(r *config.Replica) int { return 1 }
-func (n *loneNode) Revision() uint64                       { return 1 }
-func (n *loneNode) SetConnections(string, int)             {}
-func (n *loneNode) Connections(string) int                 { return 1 }
-func (n *loneNode) Forget(string)                          {}
+func (n *singleNode) Index() *config.Index                   { return n.index }
+func (n *singleNode) Self() fleet.Member                     { return fleet.Member{Name: "self"} }
+func (n *singleNode) Owners(*config.Replica) []fleet.Member  { return []fleet.Member{n.Self()} }
+func (n *singleNode) MayUseCold(*config.Replica) bool        { return true }
+func (n *singleNode) OwnersPerReplica(r *config.Replica) int { return 1 }
+func (n *singleNode) Revision() uint64                       { return 1 }
+func (n *singleNode) SetConnections(string, int)             {}
+func (n *singleNode) Connections(string) int                 { return 1 }
+func (n *singleNode) Forget(string)                          {}
 
-func (n *loneNode) Poll(context.Context, *config.Replica) backend.Reply {
+func (n *singleNode) Poll(context.Context, *config.Replica) backend.Reply {
 	return backend.Reply{Incarnation: "r-1"}
 }
 
-func (n *loneNode) Do(ctx context.Context, call backend.Call) backend.Reply {
+func (n *singleNode) Do(ctx context.Context, call backend.Call) backend.Reply {
 	n.mu.Lock()
-	n.running++
-	n.max = max(n.max, n.running)
+	n.inFlight++
+	n.maxInFlight = max(n.maxInFlight, n.inFlight)
 	n.calls[call.Attempt]++
 	if call.Replica.Name != "r" {
-		n.wrong = call.Replica.Name
+		n.wrongReplica = call.Replica.Name
 	}
 	n.mu.Unlock()
 	defer func() {
 		n.mu.Lock()
-		n.running--
+		n.inFlight--
 		n.mu.Unlock()
 		call.OnRelease()
 	}()
@@ -103,27 +103,27 @@
 	return backend.Reply{Evidence: pb.Evidence_EVIDENCE_RAN, Snapshot: 1, Generation: 1}
 }
 
-// collector is the sending side of a scatter's stream.
-type collector struct {
+// resultStream is the server side of a Scatter stream. It counts the results by attempt.
+type resultStream struct {
 	grpc.ServerStream
 	results map[uint64]int
 	largest int
 }
 
-func (c *collector) Context() context.Context { return context.Background() }
+func (s *resultStream) Context() context.Context { return context.Background() }
 
-func (c *collector) Send(resp *pb.ScatterResponse) error {
-	c.largest = max(c.largest, proto.Size(resp))
+func (s *resultStream) Send(resp *pb.ScatterResponse) error {
+	s.largest = max(s.largest, proto.Size(resp))
 	for _, r := range resp.GetResults() {
-		c.results[r.GetAttempt()]++
+		s.results[r.GetAttempt()]++
 	}
-	for _, beyond := range resp.GetBrief().GetAttempts() {
-		c.results[resp.GetBrief().GetFirstAttempt()+uint64(beyond)]++
+	for _, offset := range resp.GetBrief().GetAttempts() {
+		s.results[resp.GetBrief().GetFirstAttempt()+uint64(offset)]++
 	}
 	return nil
 }
 
-// fuzzMessage is a byte for its kind and the message.
+// fuzzMessage returns a byte for the kind of the message, followed by the message.
 func fuzzMessage(kind byte, m proto.Message) []byte {
 	out := bytes.NewBuffer([]byte{kind})
 	_, _ = protodelim.MarshalTo(out, m)
@@ -137,12 +137,11 @@
 	})
 }
 
-// FuzzPeerMessages feeds a stream of any scatter, execute and cancel messages to a
-// node. Whatever they hold, the node answers each subrequest exactly once or
-// refuses the whole message, as it does when that names an attempt twice or holds too
-// many subrequests. It asks only the replica that it owns and that is in
-// service, never beyond its share, gives up within the longest deadline, and holds
-// nothing afterwards.
+// FuzzPeerMessages sends arbitrary scatter, execute and cancel messages to a node. The node
+// returns exactly one result for each subrequest, or rejects the whole message, as with a
+// duplicate attempt or too many subrequests. It sends requests only to the replica in
+// service, with at most as many in flight as its connections, ends within the maximum
+// duration of a message, and retains no state of the messages.
 //
 // Long run: go test ./node/peer -run NONE -fuzz FuzzPeerMessages -fuzztime 10m
 func FuzzPeerMessages(f *testing.F) {
@@ -161,7 +160,7 @@
 	}
 	f.Add(fuzzScatter("", second, many...))
 	f.Add(fuzzMessage(0, &pb.ScatterRequest{
-		Envelope: &pb.Envelope{Fleet: "test"}, Service: "svc", TimeoutUs: second, ReadsBrief: true, Brief: asked{r, other, out}.brief(),
+		Envelope: &pb.Envelope{Fleet: "test"}, Service: "svc", TimeoutUs: second, ReadsBrief: true, Brief: subrequestList{r, other, out}.encode(),
 	}))
 	f.Add(append(fuzzMessage(0, &pb.ScatterRequest{}), append(fuzzMessage(1, &pb.ExecuteRequest{}), fuzzMessage(2, &pb.CancelRequest{})...)...))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -170,17 +169,17 @@
 }
 
 func runPeerMessages(t *testing.T, data []byte) {
-	n := newLoneNode()
-	pool := work.NewPool(2 * fuzzShare)
+	n := newSingleNode()
+	pool := work.NewPool(2 * fuzzConnections)
 	o := owner.New(owner.Options{Fleet: n, Backend: n, Pool: pool, Ring: ring.New(16, func(string) {}), Boot: 1})
 	s := &Server{fleet: n, owner: o}
-	// The first request finds the replica unverified and starts the poll.
+	// The first request finds the replica not yet verified and starts the poll.
 	for range 2 {
 		_ = o.Execute(t.Context(), owner.Request{Service: "svc", Replica: "r"})
 		synctest.Wait()
 	}
-	if n.max == 0 {
-		t.Fatal("the replica cannot be used")
+	if n.maxInFlight == 0 {
+		t.Fatal("replica r received no request")
 	}
 	began := time.Now()
 	in := bytes.NewReader(data)
@@ -198,20 +197,20 @@
 	pool.Close()
 	switch {
 	case time.Since(began) > owner.MaxMessageDuration+time.Second:
-		t.Fatalf("held for %v", time.Since(began))
-	case n.wrong != "":
-		t.Fatalf("replica %q was asked", n.wrong)
-	case n.max > fuzzShare:
-		t.Fatalf("%d requests at once, the share is %d", n.max, fuzzShare)
-	case len(s.running.parts) > 0 || n.running > 0:
-		t.Fatalf("%d messages and %d requests are still held", len(s.running.parts), n.running)
+		t.Fatalf("messages took %v", time.Since(began))
+	case n.wrongReplica != "":
+		t.Fatalf("replica %q, which is not in service, received a request", n.wrongReplica)
+	case n.maxInFlight > fuzzConnections:
+		t.Fatalf("%d concurrent requests exceed the %d connections", n.maxInFlight, fuzzConnections)
+	case len(s.active.byBoot) > 0 || n.inFlight > 0:
+		t.Fatalf("%d senders and %d requests are still active", len(s.active.byBoot), n.inFlight)
 	}
 }
 
 func checkPeerMessage(t *testing.T, s *Server, message proto.Message) {
 	switch req := message.(type) {
 	case *pb.ScatterRequest:
-		stream := &collector{results: make(map[uint64]int)}
+		stream := &resultStream{results: make(map[uint64]int)}
 		err := s.Scatter(req, stream)
 		want := make(map[uint64]int)
 		if err == nil {
@@ -220,18 +219,18 @@
 			}
 			if b := req.GetBrief(); b != nil {
 				clear(want)
-				for _, beyond := range b.GetAttempts() {
-					want[b.GetFirstAttempt()+uint64(beyond)]++
+				for _, offset := range b.GetAttempts() {
+					want[b.GetFirstAttempt()+uint64(offset)]++
 				}
 			}
 		}
 		for attempt, n := range want {
 			if n > 1 || len(want) > maxSubrequests {
-				t.Fatalf("attempt %d ran %d times, of %d in the message", attempt, n, len(want))
+				t.Fatalf("message accepted with attempt %d %d times and %d distinct attempts", attempt, n, len(want))
 			}
 		}
 		if !maps.Equal(stream.results, want) {
-			t.Errorf("%v: results %v, want %v", err, stream.results, want)
+			t.Errorf("error %v: results %v, want %v", err, stream.results, want)
 		}
 	case *pb.ExecuteRequest:
 		resp, err := s.Execute(context.Background(), req)
@@ -243,38 +242,36 @@
 	}
 }
 
-// A part of a query comes in with large results, all at once. In one message they
-// exceed what the sender takes: it drops the message, and the whole part is absent
-// from the answer. Each result must come once, in messages that it takes.
+// Guards against lost results: in a single message, large results of one owner exceed
+// maxMessageBytes, and the sender of the query rejects them all.
 func TestLargeResultsAreSplitIntoAcceptableMessages(t *testing.T) {
 	const count = 9
-	large := make([]byte, maxMessage/(count-1))
-	stream := &collector{results: make(map[uint64]int)}
-	p := &part{stream: stream, left: count, next: &pb.ScatterResponse{}}
+	large := make([]byte, maxMessageBytes/(count-1))
+	stream := &resultStream{results: make(map[uint64]int)}
+	h := &scatterHandler{stream: stream, pending: count, next: &pb.ScatterResponse{}}
 	for i := range uint64(count) {
-		p.subs = append(p.subs, &pb.Subrequest{Attempt: i})
-		p.ready = append(p.ready, answered{sub: p.subs[i], result: &pb.SubrequestResult{Attempt: i, Result: large}})
+		h.subs = append(h.subs, &pb.Subrequest{Attempt: i})
+		h.ready = append(h.ready, attemptResult{sub: h.subs[i], result: &pb.SubrequestResult{Attempt: i, Result: large}})
 	}
-	if err := p.send(); err != nil || p.left != 0 || len(stream.results) != count {
-		t.Fatalf("%v, %d left, %d came", err, p.left, len(stream.results))
+	if err := h.flush(); err != nil || h.pending != 0 || len(stream.results) != count {
+		t.Fatalf("error %v, %d results pending, %d sent", err, h.pending, len(stream.results))
 	}
-	if stream.largest > maxMessage {
-		t.Fatalf("message of %d bytes", stream.largest)
+	if stream.largest > maxMessageBytes {
+		t.Fatalf("message of %d bytes exceeds the maximum", stream.largest)
 	}
 }
 
-// FuzzBriefResults feeds any bytes as the results that an owner puts into columns.
-// The entry node refuses them, or reads one result for each attempt, and gives names
-// only to those that were asked for.
+// FuzzBriefResults decodes arbitrary bytes as BriefResults. The decoder rejects them, or
+// returns one result for each attempt, with names only for requested attempts.
 //
 // Long run: go test ./node/peer -run NONE -fuzz FuzzBriefResults -fuzztime 10m
 func FuzzBriefResults(f *testing.F) {
-	subs := asked{{Attempt: 1, Shard: "s", Replica: "r"}, {Attempt: 4, Shard: "t", Replica: "q"}}
+	subs := subrequestList{{Attempt: 1, Shard: "s", Replica: "r"}, {Attempt: 4, Shard: "t", Replica: "q"}}
 	resp := &pb.ScatterResponse{}
-	w := briefWriter{into: resp, first: 1}
+	w := briefWriter{message: resp, firstAttempt: 1}
 	for _, sub := range subs {
 		news := &pb.ReplicaNews{Replica: sub.Replica, State: pb.ReplicaState_REPLICA_STATE_WARM, Limit: 3}
-		w.write([]answered{{sub: sub, result: &pb.SubrequestResult{
+		w.write([]attemptResult{{sub: sub, result: &pb.SubrequestResult{
 			Attempt: sub.Attempt, Shard: sub.Shard, Replica: sub.Replica, Evidence: pb.Evidence_EVIDENCE_RAN, Result: []byte("{}"), News: news,
 		}}})
 	}
@@ -294,14 +291,14 @@
 		if proto.Unmarshal(data, b) != nil {
 			return
 		}
-		results, err := subs.results(b)
+		results, err := subs.decodeResults(b)
 		if err == nil && len(results) != len(b.GetAttempts()) {
-			t.Fatalf("%d results of %d", len(results), len(b.GetAttempts()))
+			t.Fatalf("%d results for %d attempts", len(results), len(b.GetAttempts()))
 		}
 		for _, r := range results {
-			at := subs.find(r.GetAttempt())
-			if r.GetShard() != "" && (at < 0 || r.GetShard() != subs[at].Shard || r.GetReplica() != subs[at].Replica) {
-				t.Fatalf("result with the names of another: %v", r)
+			i := subs.index(r.GetAttempt())
+			if r.GetShard() != "" && (i < 0 || r.GetShard() != subs[i].Shard || r.GetReplica() != subs[i].Replica) {
+				t.Fatalf("result with the names of another subrequest: %v", r)
 			}
 		}
 	})
--- a/node/peer/idle_test.go
+++ b/node/peer/idle_test.go
@@ -15,16 +15,16 @@
 	"github.com/carobmill/carobmill/standin/memnet"
 )
 
-// A large fleet has more peers than a node talks to. A connection that a round of
-// pings uses every 13 s stays; one that nothing has used for a minute is closed,
-// and the next call opens another one, so that nobody sees a failure.
+// Guards against memory use by idle connections in large fleets. A connection used every
+// 13 s by pings stays open. An idle one is closed after a minute, and the next call opens
+// a new one without an error.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		network := memnet.New(time.Millisecond)
 		l, err := network.Listen("server", "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
-		server := peer.NewServer(holder{}, nil, nil, nil)
+		server := peer.NewServer(configNode{}, nil, nil, nil)
 		go func() { _ = server.Serve(l) }()
 		defer server.Stop()
 		var opened atomic.Int32
@@ -34,7 +34,7 @@
 			return dial(ctx, network, address)
 		})
 		defer pool.Close()
-		client := peer.NewClient(pool, holder{})
+		client := peer.NewClient(pool, configNode{})
 		call := func(times int, pause time.Duration) int32 {
 			for range times {
 				time.Sleep(pause)
--- a/node/peer/path_test.go
+++ b/node/peer/path_test.go
@@ -21,42 +21,42 @@
 	return p
 }
 
-func ask(c *qt.C, p *scatterpath.Path) *entry.Result {
+func runQuery(c *qt.C, p *scatterpath.Path) *entry.Result {
 	answer, err := p.Query()
 	c.Assert(err, qt.IsNil)
 	return answer
 }
 
-// BenchmarkScatterPath is the bookkeeping of a query from the entry node to the
-// owner's call of a backend server and back, without that call. With -cpu 1 the
-// processor time holds no waiting processors.
+// BenchmarkScatterPath measures the cost of a query from the entry node to the owner and
+// back, without the call of the backend server. With -cpu 1, the CPU time contains no
+// spinning of idle processors.
 func BenchmarkScatterPath(b *testing.B) {
 	for _, hop := range []bool{false, true} {
 		for _, delay := range []time.Duration{0, 4 * time.Millisecond} {
 			for _, shards := range []int{36, 100, 1700} {
 				b.Run(fmt.Sprintf("hop=%t/delay=%v/shards=%d", hop, delay, shards), func(b *testing.B) {
-					measurePath(b, newPath(qt.New(b), scatterpath.Options{Shards: shards, RemoteOwner: hop, Delay: delay}), float64(shards))
+					benchmarkPath(b, newPath(qt.New(b), scatterpath.Options{Shards: shards, RemoteOwner: hop, Delay: delay}), float64(shards))
 				})
 			}
 		}
 	}
 }
 
-func measurePath(b *testing.B, p *scatterpath.Path, shards float64) {
+func benchmarkPath(b *testing.B, p *scatterpath.Path, shards float64) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	wire, messages, used := p.Bytes(), p.Messages(), processorTime()
+	wire, messages, used := p.Bytes(), p.Messages(), cpuTime()
 	complete := 0.0
 	for b.Loop() {
-		if ask(qt.New(b), p).Outcome == query.Complete {
+		if runQuery(qt.New(b), p).Outcome == query.Complete {
 			complete++
 			continue
 		}
-		// Admission refuses some: latencies of microseconds scatter widely.
+		// Admission rejects some queries, because latencies of microseconds vary widely.
 		time.Sleep(time.Millisecond)
 	}
-	used = processorTime() - used
+	used = cpuTime() - used
 	runtime.ReadMemStats(&after)
 	n := complete * shards
 	b.ReportMetric(used.Seconds()*1e6/n, "cpu-us/sub")
@@ -66,7 +66,7 @@
 	b.ReportMetric(float64(p.Messages()-messages)/complete, "messages/query")
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		panic(err)
--- a/node/peer/pool.go
+++ b/node/peer/pool.go
@@ -19,27 +19,27 @@
 )
 
 const (
-	// keepaliveTime is the shortest that grpc-go allows; silent connections
-	// are found sooner, by the pings between members.
+	// keepaliveTime is the minimum that grpc-go allows. The pings between members detect
+	// dead connections earlier.
 	keepaliveTime    = 10 * time.Second
 	keepaliveTimeout = 2 * time.Second
-	// closeGrace lets calls on a replaced connection end by themselves.
+	// closeGrace is how long a replaced connection stays open for its calls to finish.
 	closeGrace     = 5 * time.Second
 	connectTimeout = time.Second
 	maxBackoff     = time.Second
-	// idleAfter closes a connection that no call has used for so long. It is longer
-	// than a round of pings over a ping set, so that these keep their connections:
-	// each holds some 28 KB at its two ends, and a node of 750 has 749 peers.
-	idleAfter = time.Minute
-	// maxMessage bounds a message between nodes: results of a whole owner's
-	// part of a query.
-	maxMessage = 64 << 20
+	// idleTimeout closes unused connections: each one uses about 28 KB at its two ends,
+	// and a node of a fleet of 750 has 749 peers. It is longer than a round of pings over
+	// the ping set, so connections to members of the ping set stay open.
+	idleTimeout = time.Minute
+	// maxMessageBytes bounds a message between nodes. The largest ones carry the results
+	// of one owner for a query.
+	maxMessageBytes = 64 << 20
 )
 
-// ErrClosed is returned after the pool was closed.
-var ErrClosed = errors.New("peer pool is closed")
+// ErrClosed is returned for calls after Pool.Close.
+var ErrClosed = errors.New("peer connection pool is closed")
 
-// Pool keeps one connection to each peer. Safe for concurrent use.
+// Pool holds one connection to each peer. Safe for concurrent use.
 type Pool struct {
 	creds  credentials.TransportCredentials
 	dialer Dialer
@@ -47,7 +47,7 @@
 	// mu guards conns, replaced and closed.
 	mu    sync.Mutex
 	conns map[string]*grpc.ClientConn
-	// replaced connections are closed when their grace ends.
+	// replaced are the connections to close after closeGrace, with their timers.
 	replaced map[*grpc.ClientConn]*time.Timer
 	closed   bool
 }
@@ -55,8 +55,8 @@
 // Dialer opens a connection, as net.Dialer.DialContext does.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewPool returns an empty pool; nil credentials mean no TLS, and a nil dialer
-// TCP.
+// NewPool returns an empty pool. Nil credentials mean no TLS, and a nil dialer means
+// plain TCP connections.
 func NewPool(creds credentials.TransportCredentials, dialer Dialer) *Pool {
 	if creds == nil {
 		creds = insecure.NewCredentials()
@@ -67,7 +67,7 @@
 	return &Pool{creds: creds, dialer: dialer, conns: make(map[string]*grpc.ClientConn), replaced: make(map[*grpc.ClientConn]*time.Timer)}
 }
 
-// client returns the stub for a peer's address.
+// client returns the gRPC stub for the peer at an address.
 func (p *Pool) client(addr string) (peerv1.PeerClient, error) {
 	conn, err := p.Connection(addr)
 	if err != nil {
@@ -76,7 +76,8 @@
 	return peerv1.NewPeerClient(conn), nil
 }
 
-// Connection returns the connection to a peer's address, which may still have to open.
+// Connection returns the connection to the peer at an address. The connection may not be
+// established yet.
 func (p *Pool) Connection(addr string) (grpc.ClientConnInterface, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,8 +103,8 @@
 			return p.dialer(ctx, "tcp", address)
 		}),
 		grpc.WithStatsHandler(sentHandler{}),
-		grpc.WithIdleTimeout(idleAfter),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage)),
+		grpc.WithIdleTimeout(idleTimeout),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{
 			Time:    keepaliveTime,
 			Timeout: keepaliveTimeout,
@@ -121,10 +122,10 @@
 	return conn, errors.Wrapf(err, "connection to peer %s", addr)
 }
 
-// Replace makes the next call to a peer use a new connection. A connection whose
-// pings go unanswered may have been forgotten by something between the two ends,
-// while new ones work; waiting for it would make a healthy peer look dead. Calls
-// on the old one get some time to end.
+// Replace makes the next call to a peer use a new connection. A network device between
+// the ends, such as a firewall, can drop the state of a connection while new connections
+// work; without Replace, a healthy peer then appears dead. Calls on the old connection
+// have closeGrace to finish.
 func (p *Pool) Replace(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,15 +160,15 @@
 
 type sentKey struct{}
 
-// withSent returns a context for one call and the flag that tells whether its
-// first bytes were handed to a connection. While the flag is unset the peer
-// cannot have seen the call.
+// withSent returns a context for one call, and a flag that is set when the first bytes of
+// the call are written to a connection. While the flag is unset, the peer cannot have
+// received the call.
 func withSent(ctx context.Context) (context.Context, *atomic.Bool) {
 	sent := &atomic.Bool{}
 	return context.WithValue(ctx, sentKey{}, sent), sent
 }
 
-// sentHandler sets the flag of withSent.
+// sentHandler is a stats.Handler that sets the flag of withSent.
 type sentHandler struct{}
 
 func (sentHandler) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
--- a/node/peer/pull_test.go
+++ b/node/peer/pull_test.go
@@ -14,16 +14,16 @@
 	"github.com/carobmill/carobmill/node/peer"
 )
 
-// holder is a node that has one configuration in force.
-type holder struct {
+// configNode is a node that serves one configuration.
+type configNode struct {
 	peer.Fleet
 	cfg *pb.Configuration
 }
 
-func (holder) Receive(*pb.Envelope) error { return nil }
+func (configNode) Receive(*pb.Envelope) error { return nil }
 
-func (h holder) HandlePull(context.Context, *pb.PullConfigurationRequest) (*pb.PullConfigurationResponse, error) {
-	return &pb.PullConfigurationResponse{Configuration: h.cfg}, nil
+func (n configNode) HandlePull(context.Context, *pb.PullConfigurationRequest) (*pb.PullConfigurationResponse, error) {
+	return &pb.PullConfigurationResponse{Configuration: n.cfg}, nil
 }
 
 // countingConn counts the bytes read.
@@ -38,9 +38,8 @@
 	return n, err
 }
 
-// A node that missed a change pulls it from a peer. At the target every node
-// does so 920 times a day, so the configuration must cross the network at a
-// fraction of its size.
+// Guards against pulls that exceed the control traffic allowed for a node: at the target
+// load, each node pulls 920 configurations a day, so the response must be compressed.
 func TestPulledConfigurationIsCompressed(t *testing.T) {
 	c := qt.New(t)
 	shard := &pb.Shard{Name: "s"}
@@ -54,7 +53,7 @@
 	}}}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	server := peer.NewServer(holder{cfg: cfg}, nil, nil, nil)
+	server := peer.NewServer(configNode{cfg: cfg}, nil, nil, nil)
 	go func() { _ = server.Serve(l) }()
 	defer server.Stop()
 
@@ -64,9 +63,9 @@
 		return countingConn{Conn: conn, read: &read}, err
 	})
 	defer pool.Close()
-	resp, err := peer.NewClient(pool, holder{}).Pull(t.Context(), l.Addr().String(), &pb.PullConfigurationRequest{})
+	resp, err := peer.NewClient(pool, configNode{}).Pull(t.Context(), l.Addr().String(), &pb.PullConfigurationRequest{})
 	c.Assert(err, qt.IsNil)
 	c.Assert(proto.Equal(resp.GetConfiguration(), cfg), qt.IsTrue)
-	t.Logf("%d bytes read for a configuration of %d", read.Load(), proto.Size(cfg))
+	t.Logf("%d bytes read for a configuration of %d bytes", read.Load(), proto.Size(cfg))
 	c.Assert(read.Load() < int64(proto.Size(cfg)/3), qt.IsTrue)
 }
--- a/node/peer/scatter.go
+++ b/node/peer/scatter.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// gatherPart is the part of the typical time at a replica for which a result may
-	// wait for others to share its message, and maxGather bounds that. A message of
-	// its own for each result costs both nodes more than the result itself.
-	gatherPart = 8
-	maxGather  = 2 * time.Millisecond
-	// maxSubrequests bounds those of one message. An empty one takes 2 bytes to send
-	// and a thousand times that to refuse.
-	maxSubrequests = maxBrief
+	// A result waits for other results to share its message for at most the typical
+	// latency of a replica divided by batchWindowDivisor, and at most maxBatchWindow. A
+	// separate message for each result costs both nodes more than the result itself.
+	batchWindowDivisor = 8
+	maxBatchWindow     = 2 * time.Millisecond
+	// maxSubrequests bounds the subrequests of one message. An empty subrequest takes 2
+	// bytes on the wire, but about a thousand times as many bytes to reject.
+	maxSubrequests = maxBriefSubrequests
 )
 
 // Scatter implements peerv1.PeerServer.
 func (s *Server) Scatter(req *pb.ScatterRequest, stream grpc.ServerStreamingServer[pb.ScatterResponse]) error {
-	if err := s.check(req.GetEnvelope()); err != nil {
+	if err := s.checkEnvelope(req.GetEnvelope()); err != nil {
 		return err
 	}
 	subs, err := readSubrequests(req)
@@ -36,50 +36,51 @@
 	}
 	ctx, cancel := withTimeout(stream.Context(), req.GetTimeoutUs())
 	defer cancel()
-	p := newPart(ctx, stream, subs, req.GetReadsBrief())
+	h := newScatterHandler(ctx, stream, subs, req.GetReadsBrief())
 	boot := req.GetEnvelope().GetBoot()
-	s.running.add(boot, p)
-	defer s.running.remove(boot, p)
-	for at := range subs {
-		s.submit(req, p, at)
+	s.active.add(boot, h)
+	defer s.active.remove(boot, h)
+	for i := range subs {
+		s.submit(req, h, i)
 	}
-	p.next = &pb.ScatterResponse{Envelope: s.fleet.Envelope(), ReadsBrief: true}
-	p.next.News, p.next.NewsRevision = s.owner.ReportsSince(req.GetService(), req.GetNewsSince())
-	return p.forward(gatherTime(req))
+	h.next = &pb.ScatterResponse{Envelope: s.fleet.Envelope(), ReadsBrief: true}
+	h.next.News, h.next.NewsRevision = s.owner.ReportsSince(req.GetService(), req.GetNewsSince())
+	return h.sendResults(batchWindow(req))
 }
 
-// readSubrequests returns the subrequests of a message in the order of their
-// attempts, or ErrMalformed.
-func readSubrequests(req *pb.ScatterRequest) (asked, error) {
-	subs := asked(req.GetSubrequests())
+// readSubrequests returns the subrequests of a message sorted by attempt, or an error
+// that wraps ErrMalformed.
+func readSubrequests(req *pb.ScatterRequest) (subrequestList, error) {
+	subs := subrequestList(req.GetSubrequests())
 	if b := req.GetBrief(); b != nil {
 		var err error
-		if subs, err = subrequests(b); err != nil {
+		if subs, err = decodeSubrequests(b); err != nil {
 			return nil, err
 		}
 	}
 	if len(subs) > maxSubrequests {
-		return nil, errors.Wrap(ErrMalformed, "number of subrequests")
+		return nil, errors.Wrap(ErrMalformed, "too many subrequests")
 	}
-	subs = sorted(subs)
+	subs = sortedByAttempt(subs)
 	for i := range subs[:max(len(subs)-1, 0)] {
-		// Both would answer to one name, and a cancellation would end only one.
+		// With duplicates, a result is ambiguous, and a cancellation ends only one of
+		// the two subrequests.
 		if subs[i].GetAttempt() == subs[i+1].GetAttempt() {
-			return nil, errors.Wrap(ErrMalformed, "attempt that comes twice")
+			return nil, errors.Wrap(ErrMalformed, "duplicate attempt")
 		}
 	}
 	return subs, nil
 }
 
-// gatherTime is how long a result may wait for others.
-func gatherTime(req *pb.ScatterRequest) time.Duration {
+// batchWindow returns how long a result may wait for others to share its message.
+func batchWindow(req *pb.ScatterRequest) time.Duration {
 	typical := owner.DurationFromMicroseconds(req.GetTypicalUs())
-	return min(typical/gatherPart, maxGather)
+	return min(typical/batchWindowDivisor, maxBatchWindow)
 }
 
-// submit starts the subrequest at a place of the part.
-func (s *Server) submit(req *pb.ScatterRequest, p *part, at int) {
-	sub, attempt := p.subs[at], p.attempts[at]
+// submit starts the subrequest with index i of the handler.
+func (s *Server) submit(req *pb.ScatterRequest, h *scatterHandler, i int) {
+	sub, attempt := h.subs[i], h.attempts[i]
 	s.owner.Submit(attempt.ctx, owner.Request{
 		Service:    req.GetService(),
 		Class:      req.GetClass(),
@@ -94,47 +95,47 @@
 		Typical:    owner.DurationFromMicroseconds(req.GetTypicalUs()),
 	}, func(r *pb.SubrequestResult) {
 		attempt.cancel()
-		p.results.Put(answered{sub: sub, result: r})
+		h.results.Put(attemptResult{sub: sub, result: r})
 	})
 }
 
-// running is the parts under way, by the boot of the sender. Attempts are looked for
-// when one is cancelled, which is rare, and cost nothing otherwise. Safe for
-// concurrent use.
-type running struct {
-	// mu guards parts.
-	mu    sync.Mutex
-	parts map[uint64][]*part
+// activeScatters holds the Scatter calls in progress, by the boot of the sender. Attempts
+// have no index of their own: cancellations are rare, so cancel searches the calls of the
+// sender instead. Safe for concurrent use.
+type activeScatters struct {
+	// mu guards byBoot.
+	mu     sync.Mutex
+	byBoot map[uint64][]*scatterHandler
 }
 
-func (r *running) add(boot uint64, p *part) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.parts == nil {
-		r.parts = make(map[uint64][]*part)
+func (a *activeScatters) add(boot uint64, h *scatterHandler) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.byBoot == nil {
+		a.byBoot = make(map[uint64][]*scatterHandler)
 	}
-	r.parts[boot] = append(r.parts[boot], p)
+	a.byBoot[boot] = append(a.byBoot[boot], h)
 }
 
-func (r *running) remove(boot uint64, p *part) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	left := slices.DeleteFunc(r.parts[boot], func(other *part) bool { return other == p })
-	r.parts[boot] = left
-	if len(left) == 0 {
-		delete(r.parts, boot)
+func (a *activeScatters) remove(boot uint64, h *scatterHandler) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	remaining := slices.DeleteFunc(a.byBoot[boot], func(other *scatterHandler) bool { return other == h })
+	a.byBoot[boot] = remaining
+	if len(remaining) == 0 {
+		delete(a.byBoot, boot)
 	}
 }
 
-// cancel ends attempts of one boot; those that are not under way are passed over.
-func (r *running) cancel(boot uint64, attempts []uint64) {
-	r.mu.Lock()
-	parts := slices.Clone(r.parts[boot])
-	r.mu.Unlock()
-	for _, p := range parts {
+// cancel ends the given attempts of a sender's boot; attempts not in progress are ignored.
+func (a *activeScatters) cancel(boot uint64, attempts []uint64) {
+	a.mu.Lock()
+	handlers := slices.Clone(a.byBoot[boot])
+	a.mu.Unlock()
+	for _, h := range handlers {
 		for _, id := range attempts {
-			if at := p.subs.find(id); at >= 0 {
-				p.attempts[at].cancel()
+			if i := h.subs.index(id); i >= 0 {
+				h.attempts[i].cancel()
 			}
 		}
 	}
--- a/node/peer/scatterclient.go
+++ b/node/peer/scatterclient.go
@@ -13,50 +13,52 @@
 	"github.com/carobmill/carobmill/policy/membership"
 )
 
-// maxReaders bounds the boots that are remembered; forgetting them costs each one
-// message with whole subrequests.
-const maxReaders = 4096
+// maxBriefPeers bounds the recorded boots. At the bound all entries are deleted, which
+// costs each peer one message with ordinary subrequests.
+const maxBriefPeers = 4096
 
-// readers are the boots of peers that have said that they read brief subrequests. A
-// VM that is replaced by one of an older release has another boot, so it is not taken
-// for a reader. Safe for concurrent use.
-type readers struct {
-	// mu guards known.
+// briefPeers holds the boots of the peers that accept BriefSubrequests. A VM that restarts
+// with an older release has another boot, so no BriefSubrequests are sent to that release.
+// Safe for concurrent use.
+type briefPeers struct {
+	// mu guards boots.
 	mu    sync.Mutex
-	known map[membership.ID]bool
+	boots map[membership.ID]bool
 }
 
-func (r *readers) note(id membership.ID) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.known == nil || len(r.known) >= maxReaders {
-		r.known = make(map[membership.ID]bool)
+func (b *briefPeers) add(id membership.ID) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.boots == nil || len(b.boots) >= maxBriefPeers {
+		b.boots = make(map[membership.ID]bool)
 	}
-	r.known[id] = true
+	b.boots[id] = true
 }
 
-func (r *readers) reads(id membership.ID) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.known[id]
+func (b *briefPeers) contains(id membership.ID) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.boots[id]
 }
 
-// call is a scatter under way.
-type call struct {
-	subs asked
-	// came tells, by place in subs, whose result is there; left counts the others.
-	came []bool
-	left int
+// scatterCall tracks the results of one Scatter call.
+type scatterCall struct {
+	subs subrequestList
+	// received reports, by index of subs, whether the result has arrived; pending is the
+	// number of results that have not.
+	received []bool
+	pending  int
 }
 
-func newCall(subs []*pb.Subrequest) *call {
-	return &call{subs: sorted(subs), came: make([]bool, len(subs)), left: len(subs)}
+func newScatterCall(subs []*pb.Subrequest) *scatterCall {
+	return &scatterCall{subs: sortedByAttempt(subs), received: make([]bool, len(subs)), pending: len(subs)}
 }
 
-// take writes the brief results of a message out and notes whose results are there.
-func (c *call) take(resp *pb.ScatterResponse) error {
+// accept decodes the brief results of a message into Results and marks the subrequests
+// whose results the message contains.
+func (c *scatterCall) accept(resp *pb.ScatterResponse) error {
 	if b := resp.GetBrief(); b != nil {
-		results, err := c.subs.results(b)
+		results, err := c.subs.decodeResults(b)
 		if err != nil {
 			return err
 		}
@@ -64,19 +66,19 @@
 		resp.Brief = nil
 	}
 	for _, r := range resp.GetResults() {
-		if at := c.subs.find(r.GetAttempt()); at >= 0 && !c.came[at] {
-			c.came[at] = true
-			c.left--
+		if i := c.subs.index(r.GetAttempt()); i >= 0 && !c.received[i] {
+			c.received[i] = true
+			c.pending--
 		}
 	}
 	return nil
 }
 
-// missing returns REASON_PEER for each subrequest without a result.
-func (c *call) missing(evidence pb.Evidence) []*pb.SubrequestResult {
+// missing returns a result with REASON_PEER for each subrequest without a result.
+func (c *scatterCall) missing(evidence pb.Evidence) []*pb.SubrequestResult {
 	var missing []*pb.SubrequestResult
 	for i, sub := range c.subs {
-		if c.came[i] {
+		if c.received[i] {
 			continue
 		}
 		missing = append(missing, &pb.SubrequestResult{
@@ -90,25 +92,26 @@
 	return missing
 }
 
-// Scatter runs subrequests at a peer and hands over its messages; each result
-// comes once, in Results. When the call breaks off it returns an error, and
-// REASON_PEER for each subrequest without a result, with the evidence whether the
-// peer can have seen it. The request belongs to the client from then on.
+// Scatter runs subrequests at a peer and passes each message of the peer to receive, with
+// brief results decoded into Results. If results are missing when the call ends, Scatter
+// returns an error, and a result with REASON_PEER for each of those subrequests: with
+// EVIDENCE_NOT_RUN if the request was not sent, otherwise with EVIDENCE_UNKNOWN. Scatter
+// modifies req, which must not be used afterwards.
 func (c *Client) Scatter(ctx context.Context, to fleet.Member, req *pb.ScatterRequest, receive func(*pb.ScatterResponse)) ([]*pb.SubrequestResult, error) {
-	under := newCall(req.GetSubrequests())
-	c.shorten(to, req, under.subs)
+	call := newScatterCall(req.GetSubrequests())
+	c.encodeSubrequests(to, req, call.subs)
 	ctx, sent := withSent(ctx)
 	err := c.scatter(ctx, to, req, func(resp *pb.ScatterResponse) error {
 		if resp.GetReadsBrief() {
-			c.readers.note(membership.ID{Name: resp.GetEnvelope().GetSender(), Boot: resp.GetEnvelope().GetBoot()})
+			c.briefPeers.add(membership.ID{Name: resp.GetEnvelope().GetSender(), Boot: resp.GetEnvelope().GetBoot()})
 		}
-		if err := under.take(resp); err != nil {
+		if err := call.accept(resp); err != nil {
 			return err
 		}
 		receive(resp)
 		return nil
 	})
-	if under.left == 0 {
+	if call.pending == 0 {
 		return nil, nil
 	}
 	evidence := pb.Evidence_EVIDENCE_UNKNOWN
@@ -116,19 +119,19 @@
 		evidence = pb.Evidence_EVIDENCE_NOT_RUN
 	}
 	if err == nil {
-		err = errors.Errorf("peer %s left out %d results", to.Name, under.left)
+		err = errors.Errorf("peer %s ended the stream with %d results missing", to.Name, call.pending)
 	}
-	return under.missing(evidence), err
+	return call.missing(evidence), err
 }
 
-// shorten puts the subrequests into columns for a peer that is known to read them,
-// and says that this node reads columns.
-func (c *Client) shorten(to fleet.Member, req *pb.ScatterRequest, subs asked) {
+// encodeSubrequests encodes the subrequests as BriefSubrequests if the peer accepts them,
+// and announces that this node accepts BriefResults.
+func (c *Client) encodeSubrequests(to fleet.Member, req *pb.ScatterRequest, subs subrequestList) {
 	req.ReadsBrief = true
-	if !c.readers.reads(to.ID()) {
+	if !c.briefPeers.contains(to.ID()) {
 		return
 	}
-	if b := subs.brief(); b != nil {
+	if b := subs.encode(); b != nil {
 		req.Brief, req.Subrequests = b, nil
 	}
 }
@@ -141,15 +144,15 @@
 	req.Envelope = c.envelopes.Envelope()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(silentAfter, func() { cancel(ErrUnresponsive) })
-	defer silence.Stop()
+	timeout := time.AfterFunc(firstMessageTimeout, func() { cancel(ErrUnresponsive) })
+	defer timeout.Stop()
 	stream, err := stub.Scatter(ctx, req)
 	if err != nil {
 		return errors.Wrap(err, "scatter")
 	}
 	for {
 		resp, err := stream.Recv()
-		silence.Stop()
+		timeout.Stop()
 		if errors.Is(context.Cause(ctx), ErrUnresponsive) {
 			return ErrUnresponsive
 		}
@@ -159,7 +162,7 @@
 		if err != nil {
 			return errors.Wrap(err, "scatter")
 		}
-		if err := c.receive(resp.GetEnvelope()); err != nil {
+		if err := c.receiveEnvelope(resp.GetEnvelope()); err != nil {
 			return err
 		}
 		if err := receive(resp); err != nil {
--- a/node/peer/server.go
+++ b/node/peer/server.go
@@ -17,21 +17,22 @@
 )
 
 const (
-	// aliveAfter is when a receiver without results shows that it is alive, and
-	// silentAfter when the sender gives up on one that shows nothing: it is dead,
-	// paused or cut off, and a query must not wait for it until its deadline.
-	aliveAfter  = 20 * time.Millisecond
-	silentAfter = 120 * time.Millisecond
+	// firstMessageDelay is when an owner without results sends an empty message. The
+	// sender of a scatter fails the call if it receives no message within
+	// firstMessageTimeout. Otherwise a query waits until its deadline for an owner that
+	// is dead, paused or unreachable.
+	firstMessageDelay   = 20 * time.Millisecond
+	firstMessageTimeout = 120 * time.Millisecond
 )
 
-// Fleet answers the membership and configuration messages.
+// Fleet handles the membership and configuration messages.
 type Fleet interface {
 	Envelopes
 	HandleGossip(ctx context.Context, req *pb.GossipRequest) (*pb.GossipResponse, error)
 	HandlePull(ctx context.Context, req *pb.PullConfigurationRequest) (*pb.PullConfigurationResponse, error)
 }
 
-// Owner runs requests at owned replicas.
+// Owner runs requests at the replicas of which this node is the owner.
 type Owner interface {
 	Submit(ctx context.Context, req owner.Request, reply func(*pb.SubrequestResult))
 	Execute(ctx context.Context, req owner.Request) *pb.SubrequestResult
@@ -39,23 +40,23 @@
 	HandleReport(sender string, req *pb.ReportReplicaRequest) *pb.ReportReplicaResponse
 }
 
-// Status describes this node, or the whole fleet.
+// Status returns the status of this node, or of every node of the fleet.
 type Status interface {
 	NodeStatus(ctx context.Context, fleet bool) []*pb.NodeStatus
 }
 
-// Server is the receiving side of the messages between nodes.
+// Server handles the messages of other nodes.
 type Server struct {
 	peerv1.UnimplementedPeerServer
 	fleet  Fleet
 	owner  Owner
 	status Status
 
-	running running
+	active activeScatters
 }
 
-// NewServer returns a grpc server that serves the messages between nodes; nil
-// credentials mean plain TCP.
+// NewServer returns a gRPC server for the messages between nodes. Nil credentials mean
+// no TLS.
 func NewServer(fleet Fleet, o Owner, s Status, creds credentials.TransportCredentials) *grpc.Server {
 	server := grpc.NewServer(ServerOptions(creds)...)
 	peerv1.RegisterPeerServer(server, &Server{
@@ -66,11 +67,11 @@
 	return server
 }
 
-// ServerOptions returns the options of a server between nodes; nil credentials mean
-// plain TCP.
+// ServerOptions returns the options of a gRPC server for messages between nodes. Nil
+// credentials mean no TLS.
 func ServerOptions(creds credentials.TransportCredentials) []grpc.ServerOption {
 	options := []grpc.ServerOption{
-		grpc.MaxRecvMsgSize(maxMessage),
+		grpc.MaxRecvMsgSize(maxMessageBytes),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
 			MinTime:             keepaliveTime / 2,
 			PermitWithoutStream: true,
@@ -82,9 +83,9 @@
 	return options
 }
 
-// check reads the envelope. A message of another fleet or protocol is refused
-// before anything of it runs.
-func (s *Server) check(envelope *pb.Envelope) error {
+// checkEnvelope checks and applies the envelope of a request. A request of another fleet
+// or protocol is rejected before any part of it runs.
+func (s *Server) checkEnvelope(envelope *pb.Envelope) error {
 	if err := s.fleet.Receive(envelope); err != nil {
 		return status.Error(codes.FailedPrecondition, err.Error())
 	}
@@ -93,16 +94,16 @@
 
 // Cancel implements peerv1.PeerServer.
 func (s *Server) Cancel(_ context.Context, req *pb.CancelRequest) (*pb.CancelResponse, error) {
-	if err := s.check(req.GetEnvelope()); err != nil {
+	if err := s.checkEnvelope(req.GetEnvelope()); err != nil {
 		return nil, err
 	}
-	s.running.cancel(req.GetEnvelope().GetBoot(), req.GetAttempts())
+	s.active.cancel(req.GetEnvelope().GetBoot(), req.GetAttempts())
 	return &pb.CancelResponse{Envelope: s.fleet.Envelope()}, nil
 }
 
 // Execute implements peerv1.PeerServer.
 func (s *Server) Execute(ctx context.Context, req *pb.ExecuteRequest) (*pb.ExecuteResponse, error) {
-	if err := s.check(req.GetEnvelope()); err != nil {
+	if err := s.checkEnvelope(req.GetEnvelope()); err != nil {
 		return &pb.ExecuteResponse{
 			Attempt:  req.GetAttempt(),
 			Reason:   pb.Reason_REASON_PEER,
@@ -118,7 +119,7 @@
 
 // Gossip implements peerv1.PeerServer.
 func (s *Server) Gossip(ctx context.Context, req *pb.GossipRequest) (*pb.GossipResponse, error) {
-	if err := s.check(req.GetEnvelope()); err != nil {
+	if err := s.checkEnvelope(req.GetEnvelope()); err != nil {
 		return nil, err
 	}
 	return s.fleet.HandleGossip(ctx, req)
@@ -126,7 +127,7 @@
 
 // PullConfiguration implements peerv1.PeerServer.
 func (s *Server) PullConfiguration(ctx context.Context, req *pb.PullConfigurationRequest) (*pb.PullConfigurationResponse, error) {
-	if err := s.check(req.GetEnvelope()); err != nil {
+	if err := s.checkEnvelope(req.GetEnvelope()); err != nil {
 		return nil, err
 	}
 	return s.fleet.HandlePull(ctx, req)
@@ -134,7 +135,7 @@
 
 // ReportReplica implements peerv1.PeerServer.
 func (s *Server) ReportReplica(_ context.Context, req *pb.ReportReplicaRequest) (*pb.ReportReplicaResponse, error) {
-	if err := s.check(req.GetEnvelope()); err != nil {
+	if err := s.checkEnvelope(req.GetEnvelope()); err != nil {
 		return nil, err
 	}
 	resp := s.owner.HandleReport(req.GetEnvelope().GetSender(), req)
@@ -144,19 +145,19 @@
 
 // Status implements peerv1.PeerServer.
 func (s *Server) Status(ctx context.Context, req *pb.StatusRequest) (*pb.StatusResponse, error) {
-	if err := s.check(req.GetEnvelope()); err != nil {
+	if err := s.checkEnvelope(req.GetEnvelope()); err != nil {
 		return nil, err
 	}
 	nodes := s.status.NodeStatus(ctx, req.GetFleet())
 	if !req.GetFleet() {
-		leaveOutAlive(nodes)
+		removeAliveMembers(nodes)
 	}
 	return &pb.StatusResponse{Envelope: s.fleet.Envelope(), Nodes: nodes}, nil
 }
 
-// leaveOutAlive keeps only the members that are not alive: whoever asks for the
-// whole fleet would else gather the square of its size.
-func leaveOutAlive(nodes []*pb.NodeStatus) {
+// removeAliveMembers removes the alive members from the reports. Otherwise, the data that
+// a status request for the whole fleet collects grows with the square of the fleet's size.
+func removeAliveMembers(nodes []*pb.NodeStatus) {
 	for _, n := range nodes {
 		n.Members = slices.DeleteFunc(n.Members, func(m *pb.MemberChange) bool {
 			return m.GetState() == pb.MemberState_MEMBER_STATE_ALIVE
@@ -164,7 +165,7 @@
 	}
 }
 
-// withTimeout bounds a request by the time that its sender gives it.
+// withTimeout bounds a request by the timeout that its sender set.
 func withTimeout(ctx context.Context, timeoutUs uint64) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, owner.DurationFromMicroseconds(timeoutUs))
 }
--- a/node/peer/tls.go
+++ b/node/peer/tls.go
@@ -13,31 +13,32 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// reloadInterval bounds how long a changed certificate stays unread.
+// reloadInterval is the minimum time between two reads of the certificate files.
 const reloadInterval = 10 * time.Second
 
-// CredentialPair is what the two sides of a connection use; both nil without
-// TLS.
+// CredentialPair holds the credentials for the client and the server side of
+// connections. Both are nil without TLS.
 type CredentialPair struct {
 	Client credentials.TransportCredentials
 	Server credentials.TransportCredentials
 }
 
-// Credentials returns mutual TLS from the files that settings name, or none. The
-// files are read again after they change, so that certificates are renewed
-// without a restart.
+// Credentials returns credentials for mutual TLS from the files named in settings, or an
+// empty pair if settings name no certificate file. The files are reloaded at intervals, so
+// certificates are renewed without a restart.
 func Credentials(settings *pb.Tls) (CredentialPair, error) {
 	if settings.GetCertificateFile() == "" {
 		return CredentialPair{}, nil
 	}
-	k := &keys{settings: settings}
+	k := &keyFiles{settings: settings}
 	if err := k.load(time.Now()); err != nil {
 		return CredentialPair{}, err
 	}
 	client := &tls.Config{
 		MinVersion: tls.VersionTLS13,
-		// The peer's certificate is checked against the authority alone: peers
-		// are reached by IP numbers that change with every VM.
+		// The default verification also checks the host name, but peers are addressed
+		// by IP addresses that change with every VM. VerifyPeerCertificate verifies
+		// the chain up to the certificate authority instead.
 		InsecureSkipVerify:    true,
 		VerifyPeerCertificate: k.verify,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
@@ -55,30 +56,30 @@
 	return CredentialPair{Client: credentials.NewTLS(client), Server: credentials.NewTLS(server)}, nil
 }
 
-// keys holds the files' content.
-type keys struct {
+// keyFiles holds the loaded content of the certificate, key and authority files.
+type keyFiles struct {
 	settings *pb.Tls
 
-	// mu guards everything below.
+	// mu guards the fields below.
 	mu        sync.Mutex
 	cert      *tls.Certificate
 	authority *x509.CertPool
 	loaded    time.Time
 }
 
-// load reads the files. Caller holds mu, or is the only user.
-func (k *keys) load(now time.Time) error {
+// load reads the files. The caller holds mu or has exclusive access.
+func (k *keyFiles) load(now time.Time) error {
 	cert, err := tls.LoadX509KeyPair(k.settings.GetCertificateFile(), k.settings.GetKeyFile())
 	if err != nil {
-		return errors.Wrap(err, "certificate")
+		return errors.Wrap(err, "load certificate")
 	}
 	pem, err := os.ReadFile(k.settings.GetAuthorityFile())
 	if err != nil {
-		return errors.Wrap(err, "authority")
+		return errors.Wrap(err, "read certificate authority")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return errors.Errorf("authority %s holds no certificate", k.settings.GetAuthorityFile())
+		return errors.Errorf("certificate authority file %s contains no certificate", k.settings.GetAuthorityFile())
 	}
 	k.cert = &cert
 	k.authority = pool
@@ -86,9 +87,9 @@
 	return nil
 }
 
-// refresh reads the files again when they are due. A faulty renewal keeps the
-// keys that work.
-func (k *keys) refresh() {
+// refresh reloads the files if reloadInterval has passed. If the reload fails, the loaded
+// certificates stay in use. The caller holds mu.
+func (k *keyFiles) refresh() {
 	if now := time.Now(); now.Sub(k.loaded) >= reloadInterval {
 		if k.load(now) != nil {
 			k.loaded = now
@@ -96,14 +97,14 @@
 	}
 }
 
-func (k *keys) certificate() (*tls.Certificate, error) {
+func (k *keyFiles) certificate() (*tls.Certificate, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.refresh()
 	return k.cert, nil
 }
 
-func (k *keys) verify(raw [][]byte, _ [][]*x509.Certificate) error {
+func (k *keyFiles) verify(raw [][]byte, _ [][]*x509.Certificate) error {
 	k.mu.Lock()
 	k.refresh()
 	authority := k.authority
@@ -112,12 +113,12 @@
 	for _, der := range raw {
 		cert, err := x509.ParseCertificate(der)
 		if err != nil {
-			return errors.Wrap(err, "peer certificate")
+			return errors.Wrap(err, "parse peer certificate")
 		}
 		certs = append(certs, cert)
 	}
 	if len(certs) == 0 {
-		return errors.New("peer shows no certificate")
+		return errors.New("peer presented no certificate")
 	}
 	intermediates := x509.NewCertPool()
 	for _, cert := range certs[1:] {
@@ -128,5 +129,5 @@
 		Intermediates: intermediates,
 		KeyUsages:     []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
-	return errors.Wrap(err, "peer certificate")
+	return errors.Wrap(err, "verify peer certificate")
 }
--- a/node/peer/tls_test.go
+++ b/node/peer/tls_test.go
@@ -16,8 +16,8 @@
 	"github.com/carobmill/carobmill/standin/memnet"
 )
 
-// writeKeys writes a certificate of an authority of its own, as files that
-// settings name. All three files change together.
+// writeKeys writes a certificate and key of a new certificate authority, and the
+// authority's certificate, and returns the settings that name the three files.
 func writeKeys(c *qt.C, folder string) *pb.Tls {
 	a, err := authority.New()
 	c.Assert(err, qt.IsNil)
@@ -26,9 +26,10 @@
 	return files
 }
 
-// A node of the fleet is answered; one whose certificate is of another authority
-// is not. Then operators renew the authority and all certificates in the files:
-// without a restart the server takes the new ones, and the old ones no more.
+// A server accepts a node with a certificate of its authority and rejects one with a
+// certificate of another authority. After the files are replaced by those of the other
+// authority, the server accepts the new certificates and rejects the former ones, without
+// a restart.
 func TestPeersAreAuthenticatedAndKeysReloaded(t *testing.T) {
 	oldKeys, newKeys := t.TempDir(), t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -39,24 +40,24 @@
 		network := memnet.New(time.Millisecond)
 		l, err := network.Listen("server", "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
-		server := peer.NewServer(holder{}, nil, nil, creds.Server)
+		server := peer.NewServer(configNode{}, nil, nil, creds.Server)
 		go func() { _ = server.Serve(l) }()
 		defer server.Stop()
 
-		// ask tells whether a node with the keys of a folder is answered.
-		ask := func(folder string) bool {
+		// accepted reports whether the server accepts a node with the keys of a folder.
+		accepted := func(folder string) bool {
 			keys, err := peer.Credentials(authority.Files(folder))
 			c.Assert(err, qt.IsNil)
 			pool := peer.NewPool(keys.Client, network.Dialer("client"))
 			defer pool.Close()
 			ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 			defer cancel()
-			_, err = peer.NewClient(pool, holder{}).Pull(ctx, l.Addr().String(), &pb.PullConfigurationRequest{})
+			_, err = peer.NewClient(pool, configNode{}).Pull(ctx, l.Addr().String(), &pb.PullConfigurationRequest{})
 			return err == nil
 		}
 		writeKeys(c, newKeys)
-		c.Assert(ask(oldKeys), qt.IsTrue)
-		c.Assert(ask(newKeys), qt.IsFalse, qt.Commentf("another authority"))
+		c.Assert(accepted(oldKeys), qt.IsTrue)
+		c.Assert(accepted(newKeys), qt.IsFalse, qt.Commentf("certificate of another authority"))
 
 		former := t.TempDir()
 		for _, name := range []string{"cert.pem", "key.pem", "authority.pem"} {
@@ -64,8 +65,8 @@
 			copyFile(c, filepath.Join(newKeys, name), filepath.Join(oldKeys, name))
 		}
 		time.Sleep(time.Minute)
-		c.Assert(ask(newKeys), qt.IsTrue, qt.Commentf("renewed"))
-		c.Assert(ask(former), qt.IsFalse, qt.Commentf("the former authority"))
+		c.Assert(accepted(newKeys), qt.IsTrue, qt.Commentf("certificate of the renewed authority"))
+		c.Assert(accepted(former), qt.IsFalse, qt.Commentf("certificate of the former authority"))
 	})
 }
 
