--- a/node/peer/scatterpath/fakes.go
+++ b/node/peer/scatterpath/fakes.go
@@ -17,53 +17,53 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
-// oneOwner is a fleet in which one node owns every replica.
-type oneOwner struct {
+// singleOwnerFleet is a fleet in which one node owns all replicas.
+type singleOwnerFleet struct {
 	peer.Fleet
 	index  *config.Index
 	self   fleet.Member
 	owners []fleet.Member
 }
 
-func (f *oneOwner) Index() *config.Index                   { return f.index }
-func (f *oneOwner) Owners(*config.Replica) []fleet.Member  { return f.owners }
-func (f *oneOwner) MayUseCold(*config.Replica) bool        { return true }
-func (f *oneOwner) OwnersPerReplica(r *config.Replica) int { return 1 }
-func (f *oneOwner) Self() fleet.Member                     { return f.self }
-func (f *oneOwner) Revision() uint64                       { return 1 }
-func (f *oneOwner) Ready() (bool, string)                  { return true, "" }
-func (f *oneOwner) ReportCallFailure(string)               {}
-func (f *oneOwner) Receive(*pb.Envelope) error             { return nil }
+func (f *singleOwnerFleet) Index() *config.Index                   { return f.index }
+func (f *singleOwnerFleet) Owners(*config.Replica) []fleet.Member  { return f.owners }
+func (f *singleOwnerFleet) MayUseCold(*config.Replica) bool        { return true }
+func (f *singleOwnerFleet) OwnersPerReplica(r *config.Replica) int { return 1 }
+func (f *singleOwnerFleet) Self() fleet.Member                     { return f.self }
+func (f *singleOwnerFleet) Revision() uint64                       { return 1 }
+func (f *singleOwnerFleet) Ready() (bool, string)                  { return true, "" }
+func (f *singleOwnerFleet) ReportCallFailure(string)               {}
+func (f *singleOwnerFleet) Receive(*pb.Envelope) error             { return nil }
 
-func (f *oneOwner) Envelope() *pb.Envelope {
+func (f *singleOwnerFleet) Envelope() *pb.Envelope {
 	return &pb.Envelope{Fleet: "rift", Protocol: 1, Sender: f.self.Name, Boot: f.self.Boot, ConfigVersion: 7}
 }
 
-// instantBackend answers each call at once, or after a delay of half to one and a
-// half times the given one.
-type instantBackend struct {
+// fakeBackend responds to each call after a random delay between 0.5 and 1.5 times delay.
+type fakeBackend struct {
 	owner.Backend
 	delay time.Duration
 }
 
-var instantResult = []byte(`{"shard":"timing-0001","digest":"0123456789abcdef"}`)
+var fakeResult = []byte(`{"shard":"timing-0001","digest":"0123456789abcdef"}`)
 
-func (i instantBackend) Do(_ context.Context, call backend.Call) backend.Reply {
-	if i.delay > 0 {
-		time.Sleep(i.delay/2 + time.Duration(rand.Int64N(int64(i.delay))))
+func (b fakeBackend) Do(_ context.Context, call backend.Call) backend.Reply {
+	if b.delay > 0 {
+		time.Sleep(b.delay/2 + time.Duration(rand.Int64N(int64(b.delay))))
 	}
 	call.OnRelease()
 	return backend.Reply{Evidence: pb.Evidence_EVIDENCE_RAN, Snapshot: 70_000, Generation: 3, Oldest: 69_990,
-		Newest: 70_000, Incarnation: "i", Result: instantResult, Took: 4 * time.Millisecond}
+		Newest: 70_000, Incarnation: "i", Result: fakeResult, Took: 4 * time.Millisecond}
 }
 
-func (instantBackend) Poll(context.Context, *config.Replica) backend.Reply {
+func (fakeBackend) Poll(context.Context, *config.Replica) backend.Reply {
 	return backend.Reply{Evidence: pb.Evidence_EVIDENCE_NOT_RUN, Incarnation: "i", Oldest: 69_990, Newest: 70_000}
 }
-func (instantBackend) SetConnections(string, int) {}
-func (instantBackend) Connections(string) int     { return 1 }
+func (fakeBackend) SetConnections(string, int) {}
+func (fakeBackend) Connections(string) int     { return 1 }
 
-// newIndex returns one service of shards with one replica each.
+// newIndex returns the configuration of one service with the given number of shards, each
+// with one replica.
 func newIndex(shards int) (*config.Index, error) {
 	gen := &pb.Generation{Id: 3, FirstSnapshot: 1}
 	for i := range shards {
@@ -79,25 +79,25 @@
 	}})
 }
 
-// meteredConn counts the bytes of both directions.
-type meteredConn struct {
+// countingConn counts the bytes read and written.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (m *meteredConn) Read(b []byte) (int, error) {
-	n, err := m.Conn.Read(b)
-	m.bytes.Add(int64(n))
+func (c *countingConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (m *meteredConn) Write(b []byte) (int, error) {
-	n, err := m.Conn.Write(b)
-	m.bytes.Add(int64(n))
+func (c *countingConn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// countingPeers counts the messages that answer scatters.
+// countingPeers counts the received response messages of Scatter calls.
 type countingPeers struct {
 	entry.Peers
 	messages *atomic.Int64
--- a/node/peer/scatterpath/path.go
+++ b/node/peer/scatterpath/path.go
@@ -1,6 +1,6 @@
-// Package scatterpath is the way of a query from its entry node to the owner's call
-// of a backend server and back, over loopback: for measurements of what a subrequest
-// costs the nodes. One owner holds every replica, and backend servers cost nothing.
+// Package scatterpath runs queries through an entry node and an owner node over loopback,
+// to measure the cost of a subrequest in the nodes. One owner owns all replicas, and the
+// backend servers are fakes without cost.
 package scatterpath
 
 import (
@@ -20,37 +20,37 @@
 	"github.com/carobmill/carobmill/node/work"
 )
 
-// warmUp is the queries after which every replica is warm.
-const warmUp = 80
+// warmUpQueries is the number of queries after which all replicas are warm.
+const warmUpQueries = 80
 
-// Options of a path.
+// Options are the options of New.
 type Options struct {
-	// Shards that each query asks.
+	// Shards is the number of shards of each query.
 	Shards int
-	// RemoteOwner puts the owner at another node than the entry node.
+	// RemoteOwner makes a node other than the entry node the owner of the replicas.
 	RemoteOwner bool
-	// Delay is the mean time of a backend server; 0 answers at once.
+	// Delay is the mean latency of a backend server. With 0, it responds at once.
 	Delay time.Duration
 }
 
-// Path is an entry node and an owner node.
+// Path is an entry node with the owner node of its replicas.
 type Path struct {
 	entry    *entry.Entry
 	bytes    atomic.Int64
 	messages atomic.Int64
-	// closers end what runs, the last one first.
+	// closers release the resources, in reverse order.
 	closers []func()
 }
 
-// New returns a path whose replicas are warm. Close ends it. An error is one of
-// listening, of the configuration or of a query.
+// New returns a path with warm replicas. Close releases its resources. New fails if it
+// cannot listen, the configuration is invalid, or a query fails.
 func New(o Options) (*Path, error) {
 	p := &Path{}
 	if err := p.start(o); err != nil {
 		p.Close()
 		return nil, err
 	}
-	for range warmUp {
+	for range warmUpQueries {
 		if _, err := p.Query(); err != nil {
 			p.Close()
 			return nil, errors.Wrap(err, "warm up")
@@ -64,11 +64,11 @@
 	if err != nil {
 		return errors.Wrap(err, "listen")
 	}
-	far := fleet.Member{Name: "far", Boot: 1 << 61, DataCentre: "dc", PeerAddress: l.Addr().String()}
-	near := fleet.Member{Name: "near", Boot: 1 << 60, DataCentre: "dc"}
-	at := near
+	remote := fleet.Member{Name: "far", Boot: 1 << 61, DataCentre: "dc", PeerAddress: l.Addr().String()}
+	local := fleet.Member{Name: "near", Boot: 1 << 60, DataCentre: "dc"}
+	ownerNode := local
 	if o.RemoteOwner {
-		at = far
+		ownerNode = remote
 	}
 	index, err := newIndex(o.Shards)
 	if err != nil {
@@ -78,44 +78,44 @@
 	metrics, _ := telemetry.New()
 	workers := work.NewPool(64 + o.Shards)
 	events := ring.New(16, metrics.Decision)
-	own := owner.New(owner.Options{
-		Fleet:   &oneOwner{index: index, self: at, owners: []fleet.Member{at}},
-		Backend: instantBackend{delay: o.Delay}, Pool: workers, Ring: events, PollInterval: time.Hour, Boot: at.Boot,
+	ownerService := owner.New(owner.Options{
+		Fleet:   &singleOwnerFleet{index: index, self: ownerNode, owners: []fleet.Member{ownerNode}},
+		Backend: fakeBackend{delay: o.Delay}, Pool: workers, Ring: events, PollInterval: time.Hour, Boot: ownerNode.Boot,
 	})
-	server := peer.NewServer(&oneOwner{self: far}, own, nil, nil)
+	server := peer.NewServer(&singleOwnerFleet{self: remote}, ownerService, nil, nil)
 	go func() { _ = server.Serve(l) }()
 	pool := peer.NewPool(nil, p.dial)
 	p.closers = []func(){metrics.Close, workers.Close, server.Stop, pool.Close}
-	around := &oneOwner{index: index, self: near, owners: []fleet.Member{at}}
+	entryFleet := &singleOwnerFleet{index: index, self: local, owners: []fleet.Member{ownerNode}}
 	p.entry = entry.New(entry.Options{
-		Fleet: around, Peers: countingPeers{Peers: peer.NewClient(pool, around), messages: &p.messages}, Local: own, Ring: events,
-		Metrics: metrics, MaxQueries: 100, Boot: near.Boot,
+		Fleet: entryFleet, Peers: countingPeers{Peers: peer.NewClient(pool, entryFleet), messages: &p.messages}, Local: ownerService, Ring: events,
+		Metrics: metrics, MaxQueries: 100, Boot: local.Boot,
 	})
 	return nil
 }
 
 func (p *Path) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
-	return &meteredConn{Conn: conn, bytes: &p.bytes}, err
+	return &countingConn{Conn: conn, bytes: &p.bytes}, err
 }
 
-// Close ends both nodes.
+// Close stops both nodes.
 func (p *Path) Close() {
 	for i := len(p.closers) - 1; i >= 0; i-- {
 		p.closers[i]()
 	}
 }
 
-// Query runs one query. Admission refuses some, which the result says: latencies of
-// microseconds scatter widely.
+// Query runs one query. Admission rejects some queries, because latencies of microseconds
+// vary widely; the outcome of the result shows it.
 func (p *Path) Query() (*entry.Result, error) {
 	return p.entry.Query(context.Background(), entry.Request{
 		Service: "timing", Class: "checkpoint", Query: []byte(`{"rider":"KE-1207"}`),
 	})
 }
 
-// Bytes is what the entry node's connections carried so far, both directions.
+// Bytes returns the bytes read and written so far on the entry node's connections.
 func (p *Path) Bytes() int64 { return p.bytes.Load() }
 
-// Messages is how many messages answered scatters so far.
+// Messages returns the number of response messages of Scatter calls received so far.
 func (p *Path) Messages() int64 { return p.messages.Load() }
