--- a/node/statusclient/peers.go
+++ b/node/statusclient/peers.go
@@ -14,26 +14,26 @@
 	"github.com/carobmill/carobmill/node/platform"
 )
 
-// sender names the operator's tool in messages to nodes. It announces nothing
-// about members, so that no node takes it for one.
+// sender is the sender name in the envelopes of status requests. The envelopes announce no
+// member changes, so no node adds the sender as a member.
 const sender = "carobmillctl"
 
-// ErrNoVM says that the VM list could be read and names no VM that is not leaving.
-var ErrNoVM = errors.New("no live VM to ask is known")
+// ErrNoVM is returned if the VM list is empty or contains only leaving VMs.
+var ErrNoVM = errors.New("VM list is empty or all VMs are leaving")
 
-// Peers asks the first of the VMs on the platform's list that answers, and the
-// same one again the next time: a VM that is gone may stand at the head of the
-// list for long. Not safe for concurrent use.
+// Peers requests the status from the peer listeners of the VMs on the platform's VM list.
+// It tries the VMs in order until one responds, and tries that one first the next time:
+// terminated VMs can stay at the head of the list for a long time. Not safe for concurrent
+// use.
 type Peers struct {
 	fleet string
 	vms   platform.VMList
 	creds credentials.TransportCredentials
-	// last is the address that answered last.
-	last string
+	// lastAddress is the address that responded to the last request.
+	lastAddress string
 }
 
-// NewPeers returns a client of the nodes of a fleet; nil credentials mean plain
-// TCP.
+// NewPeers returns a client of the nodes of a fleet. Nil credentials mean no TLS.
 func NewPeers(fleet string, vms platform.VMList, creds credentials.TransportCredentials) *Peers {
 	if creds == nil {
 		creds = insecure.NewCredentials()
@@ -41,11 +41,11 @@
 	return &Peers{fleet: fleet, vms: vms, creds: creds}
 }
 
-// Addresses are peer addresses of nodes (IP number and port), in place of the
-// platform's VM list.
+// Addresses is a fixed list of the peer addresses of nodes (IP address and port), in place
+// of the platform's VM list.
 type Addresses []string
 
-// VMs lists the nodes at the addresses. It does not fail.
+// VMs returns a VM for each address. The error is always nil.
 func (a Addresses) VMs(context.Context) ([]platform.VM, error) {
 	list := make([]platform.VM, len(a))
 	for i, address := range a {
@@ -54,17 +54,17 @@
 	return list, nil
 }
 
-// Status returns the status of every node that the node asked knows. The error is
-// ErrNoVM when there is nobody to ask.
+// Status returns the status of every node in the member list of the first VM that responds.
+// The error is ErrNoVM if the VM list is empty or contains only leaving VMs.
 func (p *Peers) Status(ctx context.Context) ([]*pb.NodeStatus, error) {
-	if p.last != "" {
-		if nodes, err := p.ask(ctx, p.last); err == nil {
+	if p.lastAddress != "" {
+		if nodes, err := p.fetch(ctx, p.lastAddress); err == nil {
 			return nodes, nil
 		}
 	}
 	vms, err := p.vms.VMs(ctx)
 	if err != nil {
-		return nil, errors.Wrap(err, "list the VMs")
+		return nil, errors.Wrap(err, "list VMs")
 	}
 	err = ErrNoVM
 	for _, vm := range vms {
@@ -72,23 +72,23 @@
 			continue
 		}
 		var nodes []*pb.NodeStatus
-		nodes, err = p.ask(ctx, vm.PeerAddress)
+		nodes, err = p.fetch(ctx, vm.PeerAddress)
 		if err == nil {
-			p.last = vm.PeerAddress
+			p.lastAddress = vm.PeerAddress
 			return nodes, nil
 		}
 	}
 	return nil, err
 }
 
-func (p *Peers) ask(ctx context.Context, address string) ([]*pb.NodeStatus, error) {
+func (p *Peers) fetch(ctx context.Context, address string) ([]*pb.NodeStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	conn, err := grpc.NewClient(address,
 		grpc.WithTransportCredentials(p.creds),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxStatusBytes)))
 	if err != nil {
-		return nil, errors.Wrap(err, "ask for status")
+		return nil, errors.Wrap(err, "create connection")
 	}
 	defer func() { _ = conn.Close() }()
 	resp, err := peerv1.NewPeerClient(conn).Status(ctx, &pb.StatusRequest{
@@ -96,7 +96,7 @@
 		Fleet:    true,
 	})
 	if err != nil {
-		return nil, errors.Wrapf(err, "ask %s for status", address)
+		return nil, errors.Wrapf(err, "request status from %s", address)
 	}
 	return resp.GetNodes(), nil
 }
--- a/node/statusclient/peers_test.go
+++ b/node/statusclient/peers_test.go
@@ -16,8 +16,8 @@
 	"github.com/carobmill/carobmill/standin/authority"
 )
 
-// issue returns keys of an authority.
-func issue(c *qt.C, a *authority.Authority) *pb.Tls {
+// issueCertificate returns the settings of a new certificate issued by an authority.
+func issueCertificate(c *qt.C, a *authority.Authority) *pb.Tls {
 	files, err := a.Issue(c.TempDir())
 	c.Assert(err, qt.IsNil)
 	return files
@@ -29,26 +29,26 @@
 	return a
 }
 
-// oneNode is a node that takes in messages of the fleet "f" alone.
-type oneNode struct{ peer.Fleet }
+// fakeNode is a node that accepts only messages of the fleet "f".
+type fakeNode struct{ peer.Fleet }
 
-func (oneNode) Envelope() *pb.Envelope { return &pb.Envelope{Fleet: "f", Protocol: fleet.Protocol} }
+func (fakeNode) Envelope() *pb.Envelope { return &pb.Envelope{Fleet: "f", Protocol: fleet.Protocol} }
 
-func (oneNode) Receive(env *pb.Envelope) error {
+func (fakeNode) Receive(env *pb.Envelope) error {
 	if env.GetFleet() != "f" || env.GetProtocol() != fleet.Protocol {
 		return &fleet.NameMismatchError{Fleet: env.GetFleet()}
 	}
 	return nil
 }
 
-func (oneNode) NodeStatus(context.Context, bool) []*pb.NodeStatus {
+func (fakeNode) NodeStatus(context.Context, bool) []*pb.NodeStatus {
 	return []*pb.NodeStatus{{Node: "a", ConfigVersion: 7}}
 }
 
 func serve(c *qt.C, creds credentials.TransportCredentials) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	server := peer.NewServer(oneNode{}, nil, oneNode{}, creds)
+	server := peer.NewServer(fakeNode{}, nil, fakeNode{}, creds)
 	go func() { _ = server.Serve(l) }()
 	c.Cleanup(server.Stop)
 	return l.Addr().String()
@@ -64,12 +64,12 @@
 
 func (l vmList) VMs(context.Context) ([]platform.VM, error) { return l, nil }
 
-// A VM that is gone still stands at the head of the platform's list, and another
-// is leaving. The operator's tool asks the next one that lives.
+// Guards against a failed status request when a terminated VM is still at the head of the
+// VM list and the next one is leaving: the client contacts the next live VM.
 func TestUnreachableAndLeavingVMsAreSkipped(t *testing.T) {
 	c := qt.New(t)
 	vms := vmList{
-		{Name: "gone", PeerAddress: "127.0.0.1:1"},
+		{Name: "terminated", PeerAddress: "127.0.0.1:1"},
 		{Name: "leaving", PeerAddress: serve(c, nil), Leaving: true},
 		{Name: "a", PeerAddress: serve(c, nil)},
 	}
@@ -79,24 +79,23 @@
 	_, err = statusclient.NewPeers("other", vms, nil).Status(t.Context())
 	c.Assert(err, qt.ErrorMatches, `.*message of another fleet "other".*`)
 	_, err = statusclient.NewPeers("f", vms[:2], nil).Status(t.Context())
-	c.Assert(err, qt.ErrorMatches, `ask 127.0.0.1:1 for status: .*`)
+	c.Assert(err, qt.ErrorMatches, `request status from 127.0.0.1:1: .*`)
 }
 
-// Nodes speak mutual TLS. Somebody without a certificate, or with one of another
-// authority, learns nothing from them; a node with a foreign certificate is not
-// believed either.
+// With mutual TLS, a node rejects a client without a certificate of the fleet's authority,
+// and a client rejects a node without one.
 func TestOnlyCertificatesOfFleetAuthorityAreAccepted(t *testing.T) {
 	c := qt.New(t)
 	ours, theirs := newAuthority(c), newAuthority(c)
-	node := credentialsOf(c, issue(c, ours))
-	ask := func(client, server credentials.TransportCredentials) error {
+	node := credentialsOf(c, issueCertificate(c, ours))
+	request := func(client, server credentials.TransportCredentials) error {
 		vms := vmList{{Name: "a", PeerAddress: serve(c, server)}}
 		_, err := statusclient.NewPeers("f", vms, client).Status(t.Context())
 		return err
 	}
-	c.Assert(ask(credentialsOf(c, issue(c, ours)).Client, node.Server), qt.IsNil)
-	c.Assert(ask(nil, node.Server), qt.IsNotNil)
-	c.Assert(ask(credentialsOf(c, issue(c, theirs)).Client, node.Server), qt.IsNotNil)
-	c.Assert(ask(node.Client, credentialsOf(c, issue(c, theirs)).Server), qt.IsNotNil)
-	c.Assert(ask(node.Client, nil), qt.IsNotNil)
+	c.Assert(request(credentialsOf(c, issueCertificate(c, ours)).Client, node.Server), qt.IsNil)
+	c.Assert(request(nil, node.Server), qt.IsNotNil)
+	c.Assert(request(credentialsOf(c, issueCertificate(c, theirs)).Client, node.Server), qt.IsNotNil)
+	c.Assert(request(node.Client, credentialsOf(c, issueCertificate(c, theirs)).Server), qt.IsNotNil)
+	c.Assert(request(node.Client, nil), qt.IsNotNil)
 }
