--- a/node/peer/scatterhandler.go
+++ b/node/peer/scatterhandler.go
@@ -64,9 +64,9 @@
 // is sent within firstMessageDelay even without a result; otherwise the sender treats
 // this node as unresponsive.
 func (h *scatterHandler) sendResults(window time.Duration) error {
-	aliveTimer := time.NewTimer(firstMessageDelay)
-	defer aliveTimer.Stop()
-	aliveDue := aliveTimer.C
+	firstMessageTimer := time.NewTimer(firstMessageDelay)
+	defer firstMessageTimer.Stop()
+	firstMessageDue := firstMessageTimer.C
 	windowTimer := time.NewTimer(time.Hour)
 	defer windowTimer.Stop()
 	var windowEnd <-chan time.Time
@@ -82,12 +82,12 @@
 				continue
 			}
 		case <-windowEnd:
-		case <-aliveDue:
+		case <-firstMessageDue:
 		}
 		if err := h.flush(); err != nil {
 			return err
 		}
-		aliveDue, windowEnd = nil, nil
+		firstMessageDue, windowEnd = nil, nil
 	}
 	return nil
 }
--- a/node/peer/server.go
+++ b/node/peer/server.go
@@ -155,8 +155,9 @@
 	return &pb.StatusResponse{Envelope: s.fleet.Envelope(), Nodes: nodes}, nil
 }
 
-// removeAliveMembers removes the alive members from the reports. Otherwise, the data that
-// a status request for the whole fleet collects grows with the square of the fleet's size.
+// removeAliveMembers removes the alive members from each node's member list. Otherwise,
+// the data of a status request for the whole fleet grows with the square of the fleet's
+// size.
 func removeAliveMembers(nodes []*pb.NodeStatus) {
 	for _, n := range nodes {
 		n.Members = slices.DeleteFunc(n.Members, func(m *pb.MemberChange) bool {
