--- a/cmd/carobmill/process_test.go
+++ b/cmd/carobmill/process_test.go
@@ -153,7 +153,7 @@
 // Four nodes run as processes, one in each data centre. Callers get complete
 // answers at each. One process is killed: the others answer in full again. One is
 // told to end: it exits 0 after it has answered what it had accepted.
-func TestNodesAsProcesses(t *testing.T) {
+func TestNodeProcessesServeAfterKillAndShutDownGracefully(t *testing.T) {
 	c := qt.New(t)
 	_, nodes := deploy(t, 4)
 	c.Assert(nodes[3].cmd.Process.Kill(), qt.IsNil)
@@ -178,7 +178,7 @@
 // replicas warm and its claims valid; it has to find out before it sends. No cold
 // backend server gets more than it bears, no fee is taken twice, and the node
 // answers in full again.
-func TestPausedNodeWakesWithoutHarm(t *testing.T) {
+func TestPausedNodeResumesWithoutOverloadOrDuplicateExecution(t *testing.T) {
 	c := qt.New(t)
 	d, nodes := deploy(t, 8)
 	paused := nodes[0]
@@ -246,7 +246,7 @@
 	return answer.Outcome
 }
 
-func TestUsageAndFaultySettings(t *testing.T) {
+func TestExitCodesForUsageAndSettings(t *testing.T) {
 	c := qt.New(t)
 	faulty := filepath.Join(t.TempDir(), "node.yaml")
 	c.Assert(os.WriteFile(faulty, []byte("node: vm\nports: 7\nlimits: {workers: many}\n"), 0o600), qt.IsNil)
--- a/cmd/carobmillctl/ctl_test.go
+++ b/cmd/carobmillctl/ctl_test.go
@@ -82,7 +82,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestExampleSheetsPass(t *testing.T) {
+func TestExampleSheetsPassSheetCheck(t *testing.T) {
 	c := qt.New(t)
 	for _, file := range []string{kenya, chile} {
 		code, stdout, stderr := ctl("sheet", "check", file)
@@ -93,7 +93,7 @@
 
 // A planner's export has a fault. The exit code stops the pipeline, and the
 // output names the path of the fault in text and in JSON.
-func TestFaultySheetsExitWithTheirPaths(t *testing.T) {
+func TestSheetCheckReportsPathOfEachFault(t *testing.T) {
 	cases := []struct {
 		name string
 		file func(*qt.C) string
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestUsageErrorsNameTheFlagAndShowTheForm(t *testing.T) {
+func TestUsageErrorsNameTheFlagAndPrintUsage(t *testing.T) {
 	cases := []struct{ args, want string }{
 		{"", "usage:"},
 		{"sheet", `unknown command "sheet"`},
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestStatusOfTheWholeFleet(t *testing.T) {
+func TestStatusListsVersionsMembersAndReplicasOfFleet(t *testing.T) {
 	c := qt.New(t)
 	cold := &pb.OwnedReplica{Service: "timing", Replica: "timing-00-a", ConnectionLimit: 10, Connections: 1,
 		News: &pb.ReplicaNews{State: pb.ReplicaState_REPLICA_STATE_COLD, Limit: 1}}
--- a/cmd/carobmillctl/explainlog_test.go
+++ b/cmd/carobmillctl/explainlog_test.go
@@ -12,7 +12,7 @@
 // A marshal's request failed. The engineer on call has the logs of two nodes and its
 // ID: the tool shows the request's line and, before it, what its node had learnt; the
 // other node and other requests are left out.
-func TestExplainFindsARequestInLogs(t *testing.T) {
+func TestExplainPrintsLogLinesOfOneRequest(t *testing.T) {
 	c := qt.New(t)
 	one := filepath.Join(c.TempDir(), "one.log")
 	two := filepath.Join(c.TempDir(), "two.log")
--- a/cmd/carobmillctl/fleet_test.go
+++ b/cmd/carobmillctl/fleet_test.go
@@ -19,7 +19,7 @@
 // Operators take a data centre out at short notice, starting from the accepted
 // sheet, against eight running nodes. The nodes are found through the platform's
 // VM list. The command ends only when all eight have the version in force.
-func TestTakeADataCentreOutOfARunningFleet(t *testing.T) {
+func TestPublishedDataCentreStateIsInForceOnAllNodes(t *testing.T) {
 	c := qt.New(t)
 	s, faults := sheetfile.Load(kenya)
 	c.Assert(faults, qt.HasLen, 0)
@@ -50,7 +50,7 @@
 // The settings of a node name keys, and operators reach its peer listener only. The
 // tool shows the fleet's status with a certificate of the fleet's authority; without
 // one, or with one of another authority, the node gives nothing away.
-func TestStatusOfAFleetWithTLS(t *testing.T) {
+func TestStatusOverTLSRequiresCertificateOfFleetAuthority(t *testing.T) {
 	c := qt.New(t)
 	s, faults := sheetfile.Load(kenya)
 	c.Assert(faults, qt.HasLen, 0)
--- a/cmd/carobmillctl/publish_test.go
+++ b/cmd/carobmillctl/publish_test.go
@@ -41,7 +41,7 @@
 // The morning's export is checked and published; the answer to the write is
 // lost on the way. The operator still learns that it is in force everywhere,
 // and one version, not two, was written.
-func TestPublishUntilInForce(t *testing.T) {
+func TestPublishWaitsUntilInForceDespiteLostAnswer(t *testing.T) {
 	c := qt.New(t)
 	platform, url := startPlatform(c, nil)
 	node := startNode(c, obedient(platform, 0))
@@ -70,7 +70,7 @@
 
 // The first sheet of a fleet is published before any node is started. There is nobody
 // to wait for, and the operator is told so at once, not after the time limit.
-func TestFirstPublishWaitsForNobody(t *testing.T) {
+func TestFirstPublishWithoutNodesDoesNotWait(t *testing.T) {
 	c := qt.New(t)
 	_, url := startPlatform(c, nil)
 	code, report := publishReportOf(c, kenya, "-platform", url, "-timeout", "10m")
@@ -80,7 +80,7 @@
 
 // One node does not take the new version. Within the time limit the operator
 // gets the list of those that lag and exit code 4; the sheet stays accepted.
-func TestLaggingNodeEndsTheWaitAtTheTimeLimit(t *testing.T) {
+func TestPublishReportsLaggingNodesAtTimeout(t *testing.T) {
 	c := qt.New(t)
 	platform, url := startPlatform(c, nil)
 	node := startNode(c, obedient(platform, 1))
@@ -94,7 +94,7 @@
 // Two operators publish at once: the rival's write lands between this
 // operator's read and write. This operator gets exit code 3 and sees what its
 // sheet would change against the rival's; the rival's version stands.
-func TestLostRace(t *testing.T) {
+func TestPublishIsRefusedAfterConcurrentPublish(t *testing.T) {
 	c := qt.New(t)
 	rival := edited(c, "{name: nakuru-1, region: kenya, state: in_service}", "{name: nakuru-1, region: kenya, state: out}")
 	var url string
@@ -118,7 +118,7 @@
 
 // Eight operators publish changes of version 1 at the same time. Exactly one is
 // accepted, the others get exit code 3, and version 2 is the winner's.
-func TestOneOfManyOperatorsWins(t *testing.T) {
+func TestConcurrentPublishesAcceptExactlyOne(t *testing.T) {
 	c := qt.New(t)
 	platform, url := startPlatform(c, nil)
 	node := startNode(c, obedient(platform, 0))
@@ -145,7 +145,7 @@
 
 // The export lost a service. check and publish refuse it with exit code 3 until
 // the sheet states that the loss is meant.
-func TestLossIsRefusedUnlessMeant(t *testing.T) {
+func TestLossIsRefusedUnlessAllowed(t *testing.T) {
 	c := qt.New(t)
 	platform, url := startPlatform(c, nil)
 	node := startNode(c, obedient(platform, 0))
@@ -172,7 +172,7 @@
 }
 
 // A sheet beyond the platform's megabyte is refused before any call.
-func TestSheetOverAMegabyteIsRefusedBeforeTheWrite(t *testing.T) {
+func TestOversizedSheetIsRefusedBeforeAnyPlatformCall(t *testing.T) {
 	c := qt.New(t)
 	platform, url := startPlatform(c, nil)
 	var classes strings.Builder
@@ -186,7 +186,7 @@
 	c.Assert(platform.Calls().Total(), qt.Equals, uint64(0))
 }
 
-func TestPublishWhileThePlatformIsDown(t *testing.T) {
+func TestPublishAndCheckFailWhilePlatformIsUnavailable(t *testing.T) {
 	c := qt.New(t)
 	platform, url := startPlatform(c, nil)
 	platform.SetDown(true)
