--- a/cmd/carobmill/main.go
+++ b/cmd/carobmill/main.go
@@ -1,4 +1,4 @@
-// Command carobmill is one node of the query tier.
+// Command carobmill runs a node of the query tier.
 //
 //	carobmill run -settings FILE
 //	carobmill check-settings FILE
--- a/cmd/carobmill/process_test.go
+++ b/cmd/carobmill/process_test.go
@@ -26,16 +26,16 @@
 	"github.com/carobmill/carobmill/policy/query"
 )
 
-// patience bounds each wait of a test with real processes.
-const patience = 30 * time.Second
+// waitTimeout bounds each wait of a test with real processes.
+const waitTimeout = 30 * time.Second
 
-// process is a node that runs as a process of its own.
+// process is a node that runs as a separate process.
 type process struct {
-	cmd    *exec.Cmd
-	caller string
+	cmd           *exec.Cmd
+	callerAddress string
 }
 
-// buildNode builds the binary into the test's own folder.
+// buildNode builds the binary into a temporary folder and returns its path.
 func buildNode(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "carobmill")
@@ -44,9 +44,9 @@
 	return binary
 }
 
-// freeAddress returns a loopback address that was free a moment ago, below the
-// range of outgoing connections and at random, because other tests draw ports at
-// the same time.
+// freeAddress returns a loopback address with a free port, which it does not reserve. The
+// port is below the ephemeral range, and random because other tests choose ports at the
+// same time.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	for range 100 {
@@ -56,8 +56,8 @@
 		}
 		addr := l.Addr().String()
 		_ = l.Close()
-		if !given[addr] {
-			given[addr] = true
+		if !returnedAddresses[addr] {
+			returnedAddresses[addr] = true
 			return addr
 		}
 	}
@@ -65,8 +65,8 @@
 	return ""
 }
 
-// given holds the addresses that freeAddress has returned.
-var given = make(map[string]bool)
+// returnedAddresses holds the addresses that freeAddress has returned.
+var returnedAddresses = make(map[string]bool)
 
 func startProcess(t *testing.T, binary, platformURL string, sheet *pb.Sheet, n int, seeds []string) *process {
 	t.Helper()
@@ -95,11 +95,11 @@
 			t.Logf("log of vm-%d:\n%s", n, log.String())
 		}
 	})
-	return &process{cmd: cmd, caller: address}
+	return &process{cmd: cmd, callerAddress: address}
 }
 
-func (p *process) ask(ctx context.Context) (*caller.Answer, error) {
-	answer, _, err := deployment.Query(ctx, p.caller, &caller.QueryRequest{
+func (p *process) sendQuery(ctx context.Context) (*caller.Answer, error) {
+	answer, _, err := deployment.Query(ctx, p.callerAddress, &caller.QueryRequest{
 		Service: "timing",
 		Class:   "checkpoint",
 		Query:   json.RawMessage(`{"rider":7}`),
@@ -107,11 +107,11 @@
 	return answer, err
 }
 
-// complete waits until a node answers in full.
-func (p *process) complete(t *testing.T) {
+// waitForComplete waits until the node returns a complete answer.
+func (p *process) waitForComplete(t *testing.T) {
 	t.Helper()
-	err := deployment.Wait(t.Context(), patience, func() string {
-		answer, err := p.ask(t.Context())
+	err := deployment.Wait(t.Context(), waitTimeout, func() string {
+		answer, err := p.sendQuery(t.Context())
 		if err != nil {
 			return err.Error()
 		}
@@ -123,8 +123,8 @@
 	qt.Assert(t, err, qt.IsNil)
 }
 
-// deploy starts stand-ins and a number of nodes, spread over the data centres, and
-// waits until each answers in full.
+// deploy starts the stand-ins and the given number of nodes, spread over the data centres,
+// and waits until each node returns a complete answer.
 func deploy(t *testing.T, nodes int) (*deployment.Deployment, []*process) {
 	t.Helper()
 	c := qt.New(t)
@@ -140,75 +140,72 @@
 	for range nodes {
 		seeds = append(seeds, freeAddress(t))
 	}
-	var started []*process
+	var processes []*process
 	for n := range nodes {
-		started = append(started, startProcess(t, binary, d.PlatformURL, sheet, n, seeds))
+		processes = append(processes, startProcess(t, binary, d.PlatformURL, sheet, n, seeds))
 	}
-	for _, p := range started {
-		p.complete(t)
+	for _, p := range processes {
+		p.waitForComplete(t)
 	}
-	return d, started
+	return d, processes
 }
 
-// Four nodes run as processes, one in each data centre. Callers get complete
-// answers at each. One process is killed: the others answer in full again. One is
-// told to end: it exits 0 after it has answered what it had accepted.
+// After one of four node processes is killed, the others return complete answers. On
+// SIGTERM, a process answers the request that it has accepted and exits with code 0.
 func TestNodeProcessesServeAfterKillAndShutDownGracefully(t *testing.T) {
 	c := qt.New(t)
 	_, nodes := deploy(t, 4)
 	c.Assert(nodes[3].cmd.Process.Kill(), qt.IsNil)
 	for _, p := range nodes[:3] {
-		p.complete(t)
+		p.waitForComplete(t)
 	}
 	answered := make(chan *caller.Answer, 1)
 	go func() {
-		answer, _ := nodes[0].ask(context.Background())
+		answer, _ := nodes[0].sendQuery(context.Background())
 		answered <- answer
 	}()
 	time.Sleep(time.Millisecond)
 	c.Assert(nodes[0].cmd.Process.Signal(syscall.SIGTERM), qt.IsNil)
 	answer := <-answered
 	c.Assert(answer.Outcome, qt.Equals, query.Complete, qt.Commentf("%+v", answer))
-	c.Assert(nodes[0].cmd.Wait(), qt.IsNil, qt.Commentf("exit code"))
+	c.Assert(nodes[0].cmd.Wait(), qt.IsNil, qt.Commentf("exit status after SIGTERM"))
 }
 
-// One of eight nodes is paused for longer than every timeout, as a VM is that its
-// host moves. Meanwhile the backend servers of its data centre restart cold and
-// fees are taken at the other nodes under keys. On waking it still believes its
-// replicas warm and its claims valid; it has to find out before it sends. No cold
-// backend server gets more than it bears, no fee is taken twice, and the node
-// answers in full again.
+// Guards against a node that resumes after a pause longer than every timeout, as in a live
+// migration of its VM, and acts on stale replica states and claims. The backend servers
+// restart cold during the pause. None may be overloaded, no request with an idempotency
+// key may run twice, and the resumed node returns complete answers.
 func TestPausedNodeResumesWithoutOverloadOrDuplicateExecution(t *testing.T) {
 	c := qt.New(t)
 	d, nodes := deploy(t, 8)
 	paused := nodes[0]
 	c.Assert(paused.cmd.Process.Signal(syscall.SIGSTOP), qt.IsNil)
-	// The paused node has requests of a caller to carry out when it wakes.
-	waiting := make(chan struct{})
+	// Queries to the paused node are pending when it resumes.
+	queriesDone := make(chan struct{})
 	go func() {
-		defer close(waiting)
+		defer close(queriesDone)
 		for range 20 {
 			ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
-			_, _ = paused.ask(ctx)
+			_, _ = paused.sendQuery(ctx)
 			cancel()
 		}
 	}()
 	for _, server := range d.Backends {
 		server.Restart()
 	}
-	for fee := range 20 {
-		key := fmt.Sprintf("fee-%d", fee)
-		first := nodes[1+fee%7].pay(t, key)
-		second := nodes[1+(fee+3)%7].pay(t, key)
-		// "unknown" is right while the first outcome is not recorded yet.
+	for n := range 20 {
+		key := fmt.Sprintf("fee-%d", n)
+		first := nodes[1+n%7].execute(t, key)
+		second := nodes[1+(n+3)%7].execute(t, key)
+		// The outcome "unknown" is allowed while the first outcome is not recorded yet.
 		if first == query.Complete && second == query.Refused {
-			c.Errorf("%s was taken, and its repetition reads not run", key)
+			c.Errorf("request with key %s ran, but its repetition was refused as not run", key)
 		}
 	}
-	<-waiting
+	<-queriesDone
 	c.Assert(paused.cmd.Process.Signal(syscall.SIGCONT), qt.IsNil)
 	for _, p := range nodes {
-		p.complete(t)
+		p.waitForComplete(t)
 	}
 	connections := int(d.Sheet.GetServices()[0].GetConnections())
 	runs := make(map[string]int)
@@ -220,14 +217,14 @@
 			runs[run.Digest]++
 		}
 	}
-	c.Check(len(runs) >= 10, qt.IsTrue, qt.Commentf("only %d of 20 fees ran", len(runs)))
+	c.Check(len(runs) >= 10, qt.IsTrue, qt.Commentf("only %d of 20 requests ran", len(runs)))
 	for digest, n := range runs {
-		c.Check(n, qt.Equals, 1, qt.Commentf("fee %s", digest))
+		c.Check(n, qt.Equals, 1, qt.Commentf("request with digest %s", digest))
 	}
 }
 
-// pay submits a fee under a key and returns its outcome.
-func (p *process) pay(t *testing.T, key string) query.Outcome {
+// execute submits a non-idempotent request with an idempotency key and returns its outcome.
+func (p *process) execute(t *testing.T, key string) query.Outcome {
 	t.Helper()
 	body, err := json.Marshal(&caller.ExecuteRequest{
 		Service:        "timing",
@@ -238,7 +235,7 @@
 		DeadlineMs:     2000,
 	})
 	qt.Assert(t, err, qt.IsNil)
-	resp, err := http.Post("http://"+p.caller+"/v1/execute", "application/json", bytes.NewReader(body))
+	resp, err := http.Post("http://"+p.callerAddress+"/v1/execute", "application/json", bytes.NewReader(body))
 	qt.Assert(t, err, qt.IsNil)
 	defer func() { _ = resp.Body.Close() }()
 	var answer caller.ExecuteAnswer
--- a/cmd/doc.go
+++ b/cmd/doc.go
@@ -1,3 +1,3 @@
-// Package cmd is the parent of the two binaries and of the packages behind their
-// larger commands.
+// Package cmd is the parent of the commands carobmill and carobmillctl, and of the packages
+// that implement the larger subcommands of carobmillctl.
 package cmd
