--- a/cmd/carobmillctl/ctl_test.go
+++ b/cmd/carobmillctl/ctl_test.go
@@ -19,43 +19,46 @@
 )
 
 const (
-	kenya = "../../examples/kenya.yaml"
-	chile = "../../examples/chile.yaml"
+	kenyaSheet = "../../examples/kenya.yaml"
+	chileSheet = "../../examples/chile.yaml"
 )
 
-// ctl runs the tool and returns its exit code and outputs.
-func ctl(args ...string) (code int, stdout, stderr string) {
+// runTool runs the tool and returns its exit code and outputs.
+func runTool(args ...string) (code int, stdout, stderr string) {
 	var out, errs bytes.Buffer
 	code = run(context.Background(), args, &out, &errs)
 	return code, out.String(), errs.String()
 }
 
-// edited writes the Kenyan sheet with one text replaced by another.
-func edited(c *qt.C, old, with string) string {
-	data, err := os.ReadFile(kenya)
+// sheetWithReplacement writes the Kenyan sheet with the first occurrence of old replaced,
+// and returns its path.
+func sheetWithReplacement(c *qt.C, old, replacement string) string {
+	data, err := os.ReadFile(kenyaSheet)
 	c.Assert(err, qt.IsNil)
 	c.Assert(strings.Contains(string(data), old), qt.IsTrue)
 	file := filepath.Join(c.TempDir(), "sheet.yaml")
-	c.Assert(os.WriteFile(file, []byte(strings.Replace(string(data), old, with, 1)), 0o600), qt.IsNil)
+	c.Assert(os.WriteFile(file, []byte(strings.Replace(string(data), old, replacement, 1)), 0o600), qt.IsNil)
 	return file
 }
 
-// without writes the Kenyan sheet without the lines that hold a text.
-func without(c *qt.C, text string) string {
-	data, err := os.ReadFile(kenya)
+// sheetWithoutLines writes the Kenyan sheet without the lines that contain text, and
+// returns its path.
+func sheetWithoutLines(c *qt.C, text string) string {
+	data, err := os.ReadFile(kenyaSheet)
 	c.Assert(err, qt.IsNil)
-	var kept []string
+	var lines []string
 	for line := range strings.Lines(string(data)) {
 		if !strings.Contains(line, text) {
-			kept = append(kept, line)
+			lines = append(lines, line)
 		}
 	}
 	file := filepath.Join(c.TempDir(), "sheet.yaml")
-	c.Assert(os.WriteFile(file, []byte(strings.Join(kept, "")), 0o600), qt.IsNil)
+	c.Assert(os.WriteFile(file, []byte(strings.Join(lines, "")), 0o600), qt.IsNil)
 	return file
 }
 
-// startPlatform serves the stand-in; before runs ahead of each call.
+// startPlatform starts a stand-in of the platform. before, if not nil, runs before each
+// call.
 func startPlatform(c *qt.C, before func(r *http.Request)) (*platform.Server, string) {
 	s := platform.New(platform.Options{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -68,7 +71,7 @@
 	return s, server.URL
 }
 
-// startNode serves an admin listener that answers with the status of a fleet.
+// startNode starts an admin listener that returns nodes as the status of the fleet.
 func startNode(c *qt.C, nodes func() []*pb.NodeStatus) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/status" || r.URL.Query().Get("fleet") != "true" {
@@ -84,41 +87,41 @@
 
 func TestExampleSheetsPassSheetCheck(t *testing.T) {
 	c := qt.New(t)
-	for _, file := range []string{kenya, chile} {
-		code, stdout, stderr := ctl("sheet", "check", file)
+	for _, file := range []string{kenyaSheet, chileSheet} {
+		code, stdout, stderr := runTool("sheet", "check", file)
 		c.Assert(code, qt.Equals, exitOK, qt.Commentf("%s", stderr))
 		c.Assert(stdout, qt.Contains, "4 services, 27 shards")
 	}
 }
 
-// A planner's export has a fault. The exit code stops the pipeline, and the
-// output names the path of the fault in text and in JSON.
+// Guards against publishing a faulty export: the exit code stops a pipeline, and the text
+// and JSON outputs name the path of the fault.
 func TestSheetCheckReportsPathOfEachFault(t *testing.T) {
 	cases := []struct {
 		name string
 		file func(*qt.C) string
 		path string
 	}{
-		{"duplicate replica", func(c *qt.C) string { return edited(c, "name: timing-00-b", "name: timing-00-a") },
+		{"duplicate replica", func(c *qt.C) string { return sheetWithReplacement(c, "name: timing-00-b", "name: timing-00-a") },
 			"services[0].generations[0].shards[0].replicas[1].name"},
-		{"unknown data centre", func(c *qt.C) string { return edited(c, "data_centre: nairobi-2", "data_centre: x") },
+		{"unknown data centre", func(c *qt.C) string { return sheetWithReplacement(c, "data_centre: nairobi-2", "data_centre: x") },
 			"services[0].generations[0].shards[0].replicas[1].data_centre"},
 		{"shard without replicas", func(c *qt.C) string {
-			return edited(c, "replicas:\n              - {name: timing-00-a, data_centre: nairobi-1, address: \"127.0.0.1:21000\"}\n              - {name: timing-00-b, data_centre: nairobi-2, address: \"127.0.0.1:21001\"}\n              - {name: timing-00-c, data_centre: nakuru-1, address: \"127.0.0.1:21002\"}\n", "replicas: []\n")
+			return sheetWithReplacement(c, "replicas:\n              - {name: timing-00-a, data_centre: nairobi-1, address: \"127.0.0.1:21000\"}\n              - {name: timing-00-b, data_centre: nairobi-2, address: \"127.0.0.1:21001\"}\n              - {name: timing-00-c, data_centre: nakuru-1, address: \"127.0.0.1:21002\"}\n", "replicas: []\n")
 		}, "services[0].generations[0].shards[0].replicas"},
-		{"zero slots", func(c *qt.C) string { return edited(c, "slots: 3", "slots: 0") }, "services[0].slots"},
-		{"unknown key", func(c *qt.C) string { return edited(c, "slots: 3", "slots: 3\n    slot: 3") }, "services[0].slot"},
-		{"cut-off file", func(c *qt.C) string { return without(c, "...") }, "end of file"},
-		{"no file", func(c *qt.C) string { return filepath.Join(c.TempDir(), "none.yaml") }, "file"},
+		{"zero slots", func(c *qt.C) string { return sheetWithReplacement(c, "slots: 3", "slots: 0") }, "services[0].slots"},
+		{"unknown key", func(c *qt.C) string { return sheetWithReplacement(c, "slots: 3", "slots: 3\n    slot: 3") }, "services[0].slot"},
+		{"truncated file", func(c *qt.C) string { return sheetWithoutLines(c, "...") }, "end of file"},
+		{"missing file", func(c *qt.C) string { return filepath.Join(c.TempDir(), "none.yaml") }, "file"},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			c := qt.New(t)
 			file := tc.file(c)
-			code, _, stderr := ctl("sheet", "check", file)
+			code, _, stderr := runTool("sheet", "check", file)
 			c.Assert(code, qt.Equals, exitUsage)
 			c.Assert(stderr, qt.Contains, file+": "+tc.path+": ")
-			code, stdout, _ := ctl("sheet", "check", file, "-o", "json")
+			code, stdout, _ := runTool("sheet", "check", file, "-o", "json")
 			c.Assert(code, qt.Equals, exitUsage)
 			var report checkReport
 			c.Assert(json.Unmarshal([]byte(stdout), &report), qt.IsNil)
@@ -134,7 +137,7 @@
 		{"", "usage:"},
 		{"sheet", `unknown command "sheet"`},
 		{"sheet check", "argument FILE is missing"},
-		{"sheet check a b", `argument "b" is too much`},
+		{"sheet check a b", `unexpected argument "b"`},
 		{"sheet check a -o xml", `flag -o: "xml" is not allowed`},
 		{"sheet check a -platforms x", "flag provided but not defined: -platforms"},
 		{"sheet check a -platform x", `flag -platform: "x" is not a URL`},
@@ -143,15 +146,15 @@
 		{"sheet publish a -timeout soon", `invalid value "soon" for flag -timeout`},
 		{"sheet publish a -platform http://127.0.0.1:1 -by ops -timeout 0s", "flag -timeout"},
 		{"sheet publish a -platform http://127.0.0.1:1 -by ops -tls-key k", "flags -tls-certificate, -tls-key and -tls-authority"},
-		{"status", "flag -node is required"},
+		{"status", "flag -node or -peer is required"},
 		{"status -peer 127.0.0.1:1", "flag -fleet is required with -peer"},
 		{"status -peer 127.0.0.1:1 -fleet f -tls-key k", "flags -tls-certificate, -tls-key and -tls-authority"},
 		{"status -node 127.0.0.1:1 -tls-certificate c -tls-key k -tls-authority a", "admin listeners speak plain HTTP"},
-		{"status -node localhost:1", `flag -node: "localhost:1" is not an IP number and a port`},
+		{"status -node localhost:1", `flag -node: "localhost:1" is not an IP address and port`},
 	}
 	for _, tc := range cases {
 		c := qt.New(t)
-		code, _, stderr := ctl(strings.Fields(tc.args)...)
+		code, _, stderr := runTool(strings.Fields(tc.args)...)
 		c.Assert(code, qt.Equals, exitUsage, qt.Commentf("%s", tc.args))
 		c.Assert(stderr, qt.Contains, tc.want)
 		c.Assert(stderr, qt.Contains, "usage:")
@@ -173,7 +176,7 @@
 			{Node: "c", DataCentre: "dc-2", Error: "timeout"},
 		}
 	})
-	code, stdout, stderr := ctl("status", "-node", "127.0.0.1:1,"+address)
+	code, stdout, stderr := runTool("status", "-node", "127.0.0.1:1,"+address)
 	c.Assert(code, qt.Equals, exitOK, qt.Commentf("%s", stderr))
 	for _, want := range []string{
 		"3 nodes\n", "version 7 in force on 1", "version 6 in force on 1", "cannot be asked: 1",
@@ -184,13 +187,13 @@
 	}
 	c.Assert(stdout, qt.Matches, `(?s).*\ndc-1 +in service +1 +1 +0 +2 +1 +0 +0\ndc-2 +in service +2 +0 +1 +0 .*`)
 	c.Assert(stdout, qt.Matches, `(?s).*timing +timing-00-a +a +0 +cold +0 +1 +1/10 .*`)
-	code, stdout, _ = ctl("status", "-node", address, "-o", "json")
+	code, stdout, _ = runTool("status", "-node", address, "-o", "json")
 	c.Assert(code, qt.Equals, exitOK)
 	decoded := &pb.StatusResponse{}
 	c.Assert(protojson.Unmarshal([]byte(stdout), decoded), qt.IsNil)
 	c.Assert(decoded.GetNodes(), qt.HasLen, 3)
 
-	code, _, stderr = ctl("status", "-node", "127.0.0.1:1")
+	code, _, stderr = runTool("status", "-node", "127.0.0.1:1")
 	c.Assert(code, qt.Equals, exitFailed)
 	c.Assert(stderr, qt.Contains, "refused")
 }
--- a/cmd/carobmillctl/demo.go
+++ b/cmd/carobmillctl/demo.go
@@ -10,19 +10,19 @@
 	"github.com/carobmill/carobmill/node/telemetry"
 )
 
-// defaultSheet is found from the top of a checkout.
+// defaultSheet is relative to the root of a checkout.
 const defaultSheet = "examples/kenya.yaml"
 
 var demoCommand = command{
-	name:    "demo",
-	form:    "[-sheet FILE] [-once] [-o text|json]",
-	summary: "Run a whole deployment over stand-ins in this process, ask every service, and serve until interrupted.",
-	run:     runDemo,
+	name:     "demo",
+	synopsis: "[-sheet FILE] [-once] [-o text|json]",
+	summary:  "Run a complete deployment with stand-ins in this process, query every service, and serve until interrupted.",
+	run:      runDemo,
 }
 
 func runDemo(ctx context.Context, inv *invocation) int {
 	file := inv.flags.String("sheet", defaultSheet, "the sheet to run, a YAML `FILE`")
-	once := inv.flags.Bool("once", false, "end after the answers")
+	once := inv.flags.Bool("once", false, "exit after the queries")
 	verbose := inv.flags.Bool("v", false, "show the nodes' logs")
 	if code, ok := inv.parse(); !ok {
 		return code
--- a/cmd/carobmillctl/difference.go
+++ b/cmd/carobmillctl/difference.go
@@ -4,10 +4,10 @@
 	"github.com/carobmill/carobmill/policy/sheet"
 )
 
-// maxListed bounds the names that text output lists of one kind of change.
+// maxListed is the maximum number of names per kind of change in text output.
 const maxListed = 20
 
-// difference is the JSON form of what a sheet changes.
+// difference is the JSON form of a sheet.Diff.
 type difference struct {
 	ReplicasRemoved []string `json:"replicas_removed,omitempty"`
 	ReplicasAdded   []string `json:"replicas_added,omitempty"`
@@ -48,14 +48,14 @@
 	}
 }
 
-// printDifference writes a difference as text, a change a line.
+// printDifference prints a difference as text, one change per line.
 func (inv *invocation) printDifference(d sheet.Diff) {
 	if d.Empty() {
 		inv.printf("no difference\n")
 		return
 	}
 	if d.Loss.OldReplicas == 0 {
-		inv.printf("nothing was accepted before; %d replicas are new\n", len(d.Added))
+		inv.printf("no sheet was accepted before; %d replicas are new\n", len(d.Added))
 		return
 	}
 	inv.printNames("- replica", d.Removed)
--- a/cmd/carobmillctl/explain.go
+++ b/cmd/carobmillctl/explain.go
@@ -16,29 +16,29 @@
 const explainTimeout = 10 * time.Second
 
 var explainCommand = command{
-	name: "explain",
-	form: "-node ADDR [-subject NAME] [-o text|json] | -request ID -logs FILE[,FILE...] [-o text|json]",
-	summary: "Show a node's latest decisions, oldest first: replicas turned cold, versions applied, requests refused.\n" +
-		"Or what the logs of nodes say of a request, and what its nodes believed before.",
+	name:     "explain",
+	synopsis: "-node ADDR [-subject NAME] [-o text|json] | -request ID -logs FILE[,FILE...] [-o text|json]",
+	summary: "Show a node's latest decisions, oldest first: replicas that became cold, versions applied, requests refused.\n" +
+		"Or show the log lines of a request, and those of the same nodes shortly before and after.",
 	run: runExplain,
 }
 
 func runExplain(ctx context.Context, inv *invocation) int {
-	node := inv.flags.String("node", "", "admin address (`ADDR`, IP number and port) of a node (required)")
+	node := inv.flags.String("node", "", "admin address (`ADDR`, IP address and port) of a node (required)")
 	subject := inv.flags.String("subject", "", "only decisions about this replica, member, version or service (`NAME`)")
-	request := inv.flags.String("request", "", "a request's `ID`, to be looked up in -logs")
-	logs := inv.flags.String("logs", "", "log `FILE`s of nodes, separated by commas; - is standard input")
+	request := inv.flags.String("request", "", "`ID` of the request to find in -logs")
+	logs := inv.flags.String("logs", "", "log `FILE`s of nodes, separated by commas; - means standard input")
 	if code, ok := inv.parse(); !ok {
 		return code
 	}
 	if *request != "" || *logs != "" {
 		if *request == "" || *logs == "" {
-			return inv.usageError("flags -request and -logs belong together")
+			return inv.usageError("flags -request and -logs must be set together")
 		}
 		return explainRequest(inv, *request, *logs)
 	}
 	if _, err := netip.ParseAddrPort(*node); err != nil {
-		return inv.usageError("flag -node: %q is not an IP number and a port", *node)
+		return inv.usageError("flag -node: %q is not an IP address and port", *node)
 	}
 	ctx, cancel := context.WithTimeout(ctx, explainTimeout)
 	defer cancel()
@@ -60,14 +60,14 @@
 	address := "http://" + node + "/decisions?subject=" + url.QueryEscape(subject)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "decisions")
+		return nil, errors.Wrap(err, "create decisions request")
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(err, "decisions")
+		return nil, errors.Wrap(err, "fetch decisions")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	var decisions []ring.Decision
 	err = json.NewDecoder(resp.Body).Decode(&decisions)
-	return decisions, errors.Wrap(err, "decisions")
+	return decisions, errors.Wrap(err, "decode decisions")
 }
--- a/cmd/carobmillctl/explainlog.go
+++ b/cmd/carobmillctl/explainlog.go
@@ -13,15 +13,17 @@
 )
 
 const (
-	// stdinName names standard input among log files.
+	// stdinName stands for standard input in the list of log files.
 	stdinName = "-"
-	// beliefWindow is how long before a request a node's changes of belief are shown:
-	// the longest time in which news must be in force, with the check of the balancer.
-	beliefWindow = 15 * time.Second
-	// beliefAfter is how long after it they are shown: what a request suffered from may
-	// be found out after it.
-	beliefAfter = 3 * time.Second
-	// maxLogLine bounds a line: a request over some hundred shards.
+	// contextBefore is the time before the last log line of a request for which other
+	// lines of the same node are shown. It covers the longest time until a change is in
+	// force, including the balancer's check.
+	contextBefore = 15 * time.Second
+	// contextAfter is the time after that line for which other lines are shown. A fault that
+	// affects a request may be detected after the request ends.
+	contextAfter = 3 * time.Second
+	// maxLogLine is the maximum line length in bytes. It fits a request to several
+	// hundred shards.
 	maxLogLine = 1 << 20
 )
 
@@ -31,22 +33,23 @@
 	Node    string    `json:"node"`
 	Message string    `json:"msg"`
 	Request string    `json:"request"`
-	// Text is the line as it was written.
+	// Text is the unparsed line.
 	Text string `json:"-"`
 }
 
-// requestLog is what the logs of all nodes tell of one request.
+// requestLog is the JSON form of the log lines found for a request.
 type requestLog struct {
-	// Lines of the request, and of the nodes' changes of belief shortly before, in
+	// Lines are the lines of the request and the context lines of the same nodes, in
 	// order of time.
 	Lines []json.RawMessage `json:"lines"`
 	// Found is the number of lines about the request itself.
 	Found int `json:"found"`
-	// Unreadable is the number of lines that are no log lines.
+	// Unreadable is the number of lines that could not be parsed.
 	Unreadable int `json:"unreadable"`
 }
 
-// explainRequest prints what log files say of a request.
+// explainRequest prints the log lines of a request and its context lines. files is a
+// comma-separated list.
 func explainRequest(inv *invocation, id, files string) int {
 	var lines []logLine
 	unreadable := 0
@@ -58,7 +61,7 @@
 		lines = append(lines, more...)
 		unreadable += bad
 	}
-	found := aboutRequest(lines, id)
+	found := selectLines(lines, id)
 	if inv.json() {
 		report := requestLog{Lines: []json.RawMessage{}, Unreadable: unreadable}
 		for _, l := range found {
@@ -74,19 +77,19 @@
 		}
 	}
 	if len(found) == 0 {
-		return inv.failed(errors.Errorf("no line about request %s: it was answered well, or its node's log is missing", id))
+		return inv.failed(errors.Errorf("no line about request %s: either it completed and was not logged, or its node's log is missing", id))
 	}
 	return exitOK
 }
 
-// readLog reads the lines of a file that matter: those of the request, and those of no
-// request, which tell what a node believed.
+// readLog returns the lines of the request, and the lines that belong to no request. The
+// latter record state changes of the node.
 func readLog(name, id string) (lines []logLine, unreadable int, err error) {
 	var from io.Reader = os.Stdin
 	if name != stdinName {
 		file, err := os.Open(name)
 		if err != nil {
-			return nil, 0, errors.Wrap(err, "log")
+			return nil, 0, errors.Wrap(err, "open log")
 		}
 		defer func() { _ = file.Close() }()
 		from = file
@@ -106,9 +109,9 @@
 	return lines, unreadable, errors.Wrap(scanner.Err(), name)
 }
 
-// aboutRequest returns the lines of the request, and those of the same nodes from
-// beliefWindow before to beliefAfter its last line, in order of time.
-func aboutRequest(lines []logLine, id string) []logLine {
+// selectLines returns the lines of the nodes that logged the request, from contextBefore
+// before to contextAfter after the node's last line of the request, in order of time.
+func selectLines(lines []logLine, id string) []logLine {
 	last := make(map[string]time.Time)
 	for _, l := range lines {
 		if l.Request == id && l.Time.After(last[l.Node]) {
@@ -117,8 +120,8 @@
 	}
 	var found []logLine
 	for _, l := range lines {
-		end, concerned := last[l.Node]
-		if !concerned || l.Time.After(end.Add(beliefAfter)) || l.Time.Before(end.Add(-beliefWindow)) {
+		end, ok := last[l.Node]
+		if !ok || l.Time.After(end.Add(contextAfter)) || l.Time.Before(end.Add(-contextBefore)) {
 			continue
 		}
 		found = append(found, l)
--- a/cmd/carobmillctl/explainlog_test.go
+++ b/cmd/carobmillctl/explainlog_test.go
@@ -9,9 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A marshal's request failed. The engineer on call has the logs of two nodes and its
-// ID: the tool shows the request's line and, before it, what its node had learnt; the
-// other node and other requests are left out.
+// explain prints the lines of the request and the context lines of its node. It omits lines
+// of other requests and of nodes that did not log the request.
 func TestExplainPrintsLogLinesOfOneRequest(t *testing.T) {
 	c := qt.New(t)
 	one := filepath.Join(c.TempDir(), "one.log")
@@ -26,20 +25,20 @@
 	}, "\n")), 0o600), qt.IsNil)
 	c.Assert(os.WriteFile(two, []byte(`{"msg":"stop","node":"n2","time":"2026-12-03T10:05:00Z"}`), 0o600), qt.IsNil)
 
-	code, stdout, _ := ctl("explain", "-request", "r1", "-logs", one+","+two)
+	code, stdout, _ := runTool("explain", "-request", "r1", "-logs", one+","+two)
 	c.Assert(code, qt.Equals, exitOK)
 	lines := strings.Split(strings.TrimSpace(stdout), "\n")
 	c.Assert(lines, qt.HasLen, 2)
 	c.Assert(lines[0], qt.Contains, "does not answer")
 	c.Assert(lines[1], qt.Contains, `"outcome":"not_run"`)
 
-	code, stdout, _ = ctl("explain", "-request", "r1", "-logs", one, "-o", "json")
+	code, stdout, _ = runTool("explain", "-request", "r1", "-logs", one, "-o", "json")
 	c.Assert(code, qt.Equals, exitOK)
 	c.Assert(stdout, qt.Contains, `"unreadable": 1`)
 
-	code, _, stderr := ctl("explain", "-request", "r9", "-logs", one)
+	code, _, stderr := runTool("explain", "-request", "r9", "-logs", one)
 	c.Assert(code, qt.Equals, exitFailed)
 	c.Assert(stderr, qt.Contains, "no line about request r9")
-	code, _, _ = ctl("explain", "-request", "r1")
+	code, _, _ = runTool("explain", "-request", "r1")
 	c.Assert(code, qt.Equals, exitUsage)
 }
--- a/cmd/carobmillctl/fleet_test.go
+++ b/cmd/carobmillctl/fleet_test.go
@@ -16,12 +16,12 @@
 	"github.com/carobmill/carobmill/standin/authority"
 )
 
-// Operators take a data centre out at short notice, starting from the accepted
-// sheet, against eight running nodes. The nodes are found through the platform's
-// VM list. The command ends only when all eight have the version in force.
+// A data centre is set out of service in the accepted sheet. sheet publish finds the eight
+// nodes through the platform's VM list, and returns only when all of them have the version
+// in force.
 func TestPublishedDataCentreStateIsInForceOnAllNodes(t *testing.T) {
 	c := qt.New(t)
-	s, faults := sheetfile.Load(kenya)
+	s, faults := sheetfile.Load(kenyaSheet)
 	c.Assert(faults, qt.HasLen, 0)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -29,30 +29,29 @@
 	c.Assert(err, qt.IsNil)
 	defer fleet.Close()
 
-	_, accepted, _ := ctl("sheet", "show", "-platform", fleet.PlatformURL, "-fleet", s.GetFleet())
+	_, accepted, _ := runTool("sheet", "show", "-platform", fleet.PlatformURL, "-fleet", s.GetFleet())
 	old := "{name: nakuru-1, region: kenya, state: in_service}"
 	c.Assert(strings.Contains(accepted, old), qt.IsTrue, qt.Commentf("%.500s", accepted))
 	file := filepath.Join(c.TempDir(), "out.yaml")
 	out := strings.Replace(accepted, old, "{name: nakuru-1, region: kenya, state: out}", 1)
 	c.Assert(os.WriteFile(file, []byte(out), 0o600), qt.IsNil)
 
-	code, report := publishReportOf(c, file, "-platform", fleet.PlatformURL, "-timeout", "10s")
+	code, report := runPublish(c, file, "-platform", fleet.PlatformURL, "-timeout", "10s")
 	c.Assert(code, qt.Equals, exitOK, qt.Commentf("%+v", report.InForce))
 	c.Assert(report.InForce.Nodes, qt.Equals, len(fleet.Nodes))
 	t.Logf("version %d in force on %d nodes after %d ms", report.Version, report.InForce.Nodes, report.InForce.TookMs)
 
-	code, stdout, _ := ctl("status", "-node", fleet.Nodes[0].Settings.GetAdminAddress())
+	code, stdout, _ := runTool("status", "-node", fleet.Nodes[0].Settings.GetAdminAddress())
 	c.Assert(code, qt.Equals, exitOK)
 	c.Assert(stdout, qt.Contains, "configuration version 2 in force on 8")
 	c.Assert(stdout, qt.Matches, `(?s).*\nnakuru-1 +out +2 +0 +0 .*\nthika-1 +in service +2 +2 +0 .*`)
 }
 
-// The settings of a node name keys, and operators reach its peer listener only. The
-// tool shows the fleet's status with a certificate of the fleet's authority; without
-// one, or with one of another authority, the node gives nothing away.
+// Guards against disclosing status over a peer listener with TLS: without a certificate, or
+// with a certificate of another authority, the tool prints no status.
 func TestStatusOverTLSRequiresCertificateOfFleetAuthority(t *testing.T) {
 	c := qt.New(t)
-	s, faults := sheetfile.Load(kenya)
+	s, faults := sheetfile.Load(kenyaSheet)
 	c.Assert(faults, qt.HasLen, 0)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -76,14 +75,14 @@
 			args = append(args, "-tls-certificate", keys.GetCertificateFile(), "-tls-key", keys.GetKeyFile(),
 				"-tls-authority", keys.GetAuthorityFile())
 		}
-		code, stdout, _ := ctl(args...)
+		code, stdout, _ := runTool(args...)
 		return code, stdout
 	}
 	code, stdout := status(keys)
 	c.Assert(code, qt.Equals, exitOK)
 	c.Assert(stdout, qt.Contains, "configuration version 1 in force on 4")
-	for _, others := range []*pb.Tls{nil, issue()} {
-		code, stdout = status(others)
+	for _, rejected := range []*pb.Tls{nil, issue()} {
+		code, stdout = status(rejected)
 		c.Assert(code, qt.Equals, exitFailed)
 		c.Assert(stdout, qt.Equals, "")
 	}
--- a/cmd/carobmillctl/loadcmd.go
+++ b/cmd/carobmillctl/loadcmd.go
@@ -19,34 +19,36 @@
 	defaultLoadRate     = 50
 	defaultLoadDuration = 10 * time.Second
 	defaultLoadDeadline = 240 * time.Millisecond
-	defaultLoadFlights  = 2_000
+	defaultLoadInFlight = 2_000
 )
 
-// clearLine moves a terminal's cursor to the line's start and clears the line.
+// clearLine is the terminal escape sequence that clears the current line and returns the
+// cursor to its start.
 const clearLine = "\r\x1b[K"
 
 var loadCommand = command{
 	name: "load",
-	form: "-addr ADDR[,ADDR...] -mix SERVICE/CLASS[=SHARE][,...] [-rate N] [-duration D] [-deadline D] " +
+	synopsis: "-addr ADDR[,ADDR...] -mix SERVICE/CLASS[=SHARE][,...] [-rate N] [-duration D] [-deadline D] " +
 		"[-seed N] [-in-flight N] [-plot FILE.png] [-report FILE.json] [-o text|json]",
 	summary: "Send an open-loop load of queries and report latency, coverage and outcomes by class.",
 	run:     runLoad,
 }
 
-// loadFiles are the files that a load run writes; empty ones are not written.
+// loadFiles holds the paths of the output files. A file with an empty path is not
+// written.
 type loadFiles struct {
 	plot, report string
 }
 
 func runLoad(ctx context.Context, inv *invocation) int {
 	var files loadFiles
-	addresses := inv.flags.String("addr", "", "caller addresses (`ADDR`, IP number and port) of nodes, taken in turn (required)")
+	addresses := inv.flags.String("addr", "", "caller addresses (`ADDR`, IP address and port) of nodes, used in round-robin order (required)")
 	mix := inv.flags.String("mix", "", "`targets` SERVICE/CLASS[=SHARE], separated by commas (required)")
-	rate := inv.flags.Float64("rate", defaultLoadRate, "mean `requests` a second, Poisson arrivals")
+	rate := inv.flags.Float64("rate", defaultLoadRate, "mean `requests` per second, Poisson arrivals")
 	duration := inv.flags.Duration("duration", defaultLoadDuration, "time during which requests are sent")
 	deadline := inv.flags.Duration("deadline", defaultLoadDeadline, "deadline of each request")
 	seed := inv.flags.Uint64("seed", 1, "seed of the arrivals")
-	inFlight := inv.flags.Int("in-flight", defaultLoadFlights, "most `requests` that wait for an answer; further ones are not sent")
+	inFlight := inv.flags.Int("in-flight", defaultLoadInFlight, "maximum number of `requests` in flight; excess requests are not sent")
 	inv.flags.StringVar(&files.plot, "plot", "", "write a plot to this PNG `file`")
 	inv.flags.StringVar(&files.report, "report", "", "write the report to this JSON `file`")
 	if code, ok := inv.parse(); !ok {
@@ -73,9 +75,9 @@
 	if err := config.Check(); err != nil {
 		return inv.usageError("%v", err)
 	}
-	live := inv.liveLine()
-	report, err := load.Run(ctx, config, live)
-	if live != nil {
+	progress := inv.progressLine()
+	report, err := load.Run(ctx, config, progress)
+	if progress != nil {
 		_, _ = fmt.Fprint(inv.stderr, clearLine)
 	}
 	if err != nil {
@@ -84,9 +86,9 @@
 	return inv.loadReport(report, files)
 }
 
-// liveLine returns what draws the run's progress, or nil when standard error is
-// no terminal.
-func (inv *invocation) liveLine() func(load.Progress) {
+// progressLine returns a function that shows the progress of the run, or nil if standard
+// error is not a terminal.
+func (inv *invocation) progressLine() func(load.Progress) {
 	file, ok := inv.stderr.(*os.File)
 	if !ok || !term.IsTerminal(int(file.Fd())) {
 		return nil
--- a/cmd/carobmillctl/main.go
+++ b/cmd/carobmillctl/main.go
@@ -1,7 +1,7 @@
-// Command carobmillctl is the tool of operators and planners.
+// Command carobmillctl is the command-line tool for operators and planners.
 //
-// Exit codes: 0 success; 1 failure; 2 wrong usage or faulty input; 3 refused, or
-// the race with another operator was lost; 4 not in force everywhere in time.
+// Exit codes: 0 success; 1 failure; 2 invalid usage or input; 3 refused, or another
+// operator published first; 4 not in force on every node within the time limit.
 package main
 
 import (
@@ -23,13 +23,13 @@
 	exitNotInForce = 4
 )
 
-// command is one command of the tool.
+// command describes a command of the tool.
 type command struct {
-	// name is one word or two.
+	// name has one or two words.
 	name string
-	// form is what follows the name: arguments and flags.
-	form string
-	// summary is one line for the list of commands.
+	// synopsis lists the arguments and flags.
+	synopsis string
+	// summary is shown in the list of commands.
 	summary string
 	run     func(ctx context.Context, inv *invocation) int
 }
@@ -86,6 +86,6 @@
 func printCommands(w io.Writer) {
 	_, _ = fmt.Fprintln(w, "usage:")
 	for _, cmd := range commands {
-		_, _ = fmt.Fprintf(w, "  carobmillctl %s %s\n        %s\n", cmd.name, cmd.form, cmd.summary)
+		_, _ = fmt.Fprintf(w, "  carobmillctl %s %s\n        %s\n", cmd.name, cmd.synopsis, cmd.summary)
 	}
 }
--- a/cmd/carobmillctl/query.go
+++ b/cmd/carobmillctl/query.go
@@ -11,28 +11,28 @@
 	"github.com/carobmill/carobmill/policy/query"
 )
 
-// queryMargin is what a query is waited for beyond its deadline.
+// queryMargin is added to a query's deadline to give the time limit of the HTTP request.
 const queryMargin = 5 * time.Second
 
 var queryCommand = command{
-	name:    "query",
-	form:    "-node ADDR -service NAME -class NAME [-q JSON] [-deadline DURATION] [-trace] [-o text|json]",
-	summary: "Ask a node as a caller does, and show outcome, coverage, absent shards and, with -trace, each step.",
-	run:     runQuery,
+	name:     "query",
+	synopsis: "-node ADDR -service NAME -class NAME [-q JSON] [-deadline DURATION] [-trace] [-o text|json]",
+	summary:  "Send a query to a node and show outcome, coverage, absent shards and, with -trace, each step.",
+	run:      runQuery,
 }
 
 func runQuery(ctx context.Context, inv *invocation) int {
-	node := inv.flags.String("node", "", "caller address (`ADDR`, IP number and port) of a node (required)")
+	node := inv.flags.String("node", "", "caller address (`ADDR`, IP address and port) of a node (required)")
 	service := inv.flags.String("service", "", "`NAME` of the service (required)")
 	class := inv.flags.String("class", "", "`NAME` of the class (required)")
 	text := inv.flags.String("q", "{}", "the query, a `JSON` value")
-	deadline := inv.flags.Duration("deadline", 0, "time allowed; 0 takes the service's default")
+	deadline := inv.flags.Duration("deadline", 0, "deadline of the query; 0 means the service's default")
 	trace := inv.flags.Bool("trace", false, "show the steps of the query")
 	if code, ok := inv.parse(); !ok {
 		return code
 	}
 	if _, err := netip.ParseAddrPort(*node); err != nil {
-		return inv.usageError("flag -node: %q is not an IP number and a port", *node)
+		return inv.usageError("flag -node: %q is not an IP address and port", *node)
 	}
 	for name, value := range map[string]string{"service": *service, "class": *class} {
 		if value == "" {
@@ -69,7 +69,7 @@
 	inv.printf("%s (HTTP %d): coverage %.3f, %d shards, snapshot %d of generation %d, configuration version %d\n",
 		answer.Outcome, status, answer.Coverage, len(answer.Results), answer.Snapshot, answer.Generation, answer.ConfigVersion)
 	if answer.Reason != "" {
-		inv.printf("reason: %s, come back after %d ms\n", answer.Reason, answer.RetryAfterMs)
+		inv.printf("reason: %s, retry after %d ms\n", answer.Reason, answer.RetryAfterMs)
 	}
 	for _, a := range answer.Absent {
 		inv.printf("absent: %s (%s)\n", a.Shard, a.Reason)
--- a/cmd/carobmillctl/sheetcheck.go
+++ b/cmd/carobmillctl/sheetcheck.go
@@ -20,19 +20,19 @@
 )
 
 const (
-	// platformCallsPerSecond bounds what one run of the tool asks of the platform.
+	// platformCallsPerSecond is the rate limit of calls to the platform by one command.
 	platformCallsPerSecond = 10
 	checkTimeout           = 10 * time.Second
 )
 
 var sheetCheckCommand = command{
-	name:    "sheet check",
-	form:    "FILE [-platform URL] [-o text|json]",
-	summary: "Report every fault of a sheet; with -platform, what it changes against the accepted one.",
-	run:     runSheetCheck,
+	name:     "sheet check",
+	synopsis: "FILE [-platform URL] [-o text|json]",
+	summary:  "Report every fault of a sheet and, with -platform, its differences from the accepted sheet.",
+	run:      runSheetCheck,
 }
 
-// checkReport is the JSON form of a check.
+// checkReport is the JSON output of sheet check.
 type checkReport struct {
 	Outcome         string      `json:"outcome"`
 	Faults          []fault     `json:"faults,omitempty"`
@@ -92,7 +92,8 @@
 	return exitOK
 }
 
-// loadSheet reads and checks a sheet; its faults are printed.
+// loadSheet reads and checks a sheet, and prints its faults. If the last result is false,
+// the command exits with the code returned.
 func (inv *invocation) loadSheet(file string) (*pb.Sheet, int, bool) {
 	s, faults := sheetfile.Load(file)
 	if len(faults) == 0 {
@@ -105,7 +106,7 @@
 	return nil, exitUsage, false
 }
 
-// tooLarge reports a sheet whose configuration the platform cannot hold.
+// tooLarge returns a fault if the sheet's configuration exceeds the platform's size limit.
 func tooLarge(file string, s *pb.Sheet) []schema.Fault {
 	size := proto.Size(&pb.Configuration{Sheet: s})
 	if size <= platform.MaxValueBytes {
@@ -114,8 +115,8 @@
 	return []schema.Fault{{
 		File:    file,
 		Path:    "file",
-		Problem: fmt.Sprintf("makes a configuration of %d bytes", size),
-		Allowed: fmt.Sprintf("the platform holds values of at most %d bytes", platform.MaxValueBytes),
+		Problem: fmt.Sprintf("encodes to a configuration of %d bytes", size),
+		Allowed: fmt.Sprintf("the platform stores values of at most %d bytes", platform.MaxValueBytes),
 	}}
 }
 
@@ -167,7 +168,7 @@
 		r.Outcome = checkRefused
 	}
 	if s.GetAllowLoss() && len(diff.Unserved) == 0 && diff.Loss.Percent <= float64(s.GetMaxLossPercent()) {
-		r.Warnings = append(r.Warnings, "allow_loss is set but not needed: take it out, or a cut-off export will pass")
+		r.Warnings = append(r.Warnings, "allow_loss is set but not needed: remove it, otherwise a truncated export is accepted")
 	}
 }
 
@@ -179,14 +180,14 @@
 	inv.printf("%s: fleet %s, %d services, %d shards, %d replicas, %d bytes\n",
 		file, r.Fleet, r.Services, r.Shards, r.Replicas, r.Bytes)
 	if r.diff != nil {
-		inv.printf("against the accepted version %d:\n", r.AcceptedVersion)
+		inv.printf("compared with accepted version %d:\n", r.AcceptedVersion)
 		inv.printDifference(*r.diff)
 	}
 	for _, warning := range r.Warnings {
 		inv.printf("warning: %s\n", warning)
 	}
 	if r.Outcome == checkRefused {
-		inv.printf("refused: %s; if it is meant, state allow_loss: true\n", r.Refusal)
+		inv.printf("refused: %s; if the loss is intended, set allow_loss: true\n", r.Refusal)
 		return
 	}
 	inv.printf("ok\n")
--- a/cmd/carobmillctl/sheetpublish.go
+++ b/cmd/carobmillctl/sheetpublish.go
@@ -16,18 +16,19 @@
 
 const (
 	defaultPublishTimeout = 30 * time.Second
-	// askShare is the part of the time limit spent on asking the nodes which
-	// version they have in force before the write; publishing goes on without.
-	askShare = 6
-	// firstVersion is that of the first configuration of a fleet.
+	// versionQueryDivisor divides the time limit of the publish to give the time limit of
+	// the query for the versions in force, which precedes the write. If no node responds,
+	// the sheet is published nevertheless.
+	versionQueryDivisor = 6
+	// firstVersion is the version of the first configuration of a fleet.
 	firstVersion = 1
-	noNodeYet    = "no VM is listed yet; nodes take it when they start"
+	noVMListed   = "no VM is listed yet; nodes apply the version when they start"
 )
 
 var sheetPublishCommand = command{
 	name: "sheet publish",
-	form: "FILE -platform URL -by NAME [-base VERSION] [-node ADDR[,ADDR...]] [-timeout 30s] " +
-		tlsForm + " [-o text|json]",
+	synopsis: "FILE -platform URL -by NAME [-base VERSION] [-node ADDR[,ADDR...]] [-timeout 30s] " +
+		tlsSynopsis + " [-o text|json]",
 	summary: "Make a sheet the accepted configuration and wait until it is in force on every node.",
 	run:     runSheetPublish,
 }
@@ -41,7 +42,7 @@
 	timeout  time.Duration
 }
 
-// publishReport is the JSON form of a publish.
+// publishReport is the JSON output of sheet publish.
 type publishReport struct {
 	Outcome         string         `json:"outcome"`
 	Error           string         `json:"error,omitempty"`
@@ -88,30 +89,30 @@
 		Key:            configstate.Key(s.GetFleet()),
 		By:             f.by,
 		Base:           f.base,
-		HighestInForce: highestInForce(ctx, fleet, f.timeout/askShare),
+		HighestInForce: highestInForce(ctx, fleet, f.timeout/versionQueryDivisor),
 	}, s)
 	report := newPublishReport(result)
 	if !succeeded(result.Outcome) {
 		inv.printPublish(report, result)
 		return publishCode(result.Outcome)
 	}
-	if nobodyYet(ctx, fleet, result) {
-		report.InForce = &inForceReport{Error: noNodeYet}
+	if isFirstPublishWithoutNodes(ctx, fleet, result) {
+		report.InForce = &inForceReport{Error: noVMListed}
 		inv.printPublish(report, result)
 		return exitNotInForce
 	}
-	spread := publish.Await(ctx, fleet, kv, result.Accepted.GetVersion(), 0)
-	report.InForce = newInForceReport(spread)
+	rollout := publish.Await(ctx, fleet, kv, result.Accepted.GetVersion(), 0)
+	report.InForce = newInForceReport(rollout)
 	inv.printPublish(report, result)
-	if !spread.Done() {
+	if !rollout.Done() {
 		return exitNotInForce
 	}
 	return exitOK
 }
 
-// nobodyYet reports whether this was the first publish of a fleet whose nodes have
-// not been started: there is nobody to wait for, and the whole time limit would pass.
-func nobodyYet(ctx context.Context, fleet publish.Fleet, r publish.Result) bool {
+// isFirstPublishWithoutNodes reports whether this is the first publish of a fleet and no
+// VM is listed. Waiting for nodes would then last until the time limit.
+func isFirstPublishWithoutNodes(ctx context.Context, fleet publish.Fleet, r publish.Result) bool {
 	if r.Accepted.GetVersion() != firstVersion {
 		return false
 	}
@@ -123,9 +124,9 @@
 	f := &publishFlags{}
 	inv.flags.StringVar(&f.platform, "platform", "", "base `URL` of the platform's service (required)")
 	inv.flags.StringVar(&f.by, "by", "", "`NAME` of the operator who publishes (required)")
-	inv.flags.Uint64Var(&f.base, "base", 0, "accepted `VERSION` that the sheet was made from; another one is a lost race")
-	inv.flags.StringVar(&f.nodes, "node", "", "admin addresses of nodes to ask, separated by commas; by default the platform's VM list is used")
-	inv.flags.DurationVar(&f.timeout, "timeout", defaultPublishTimeout, "time limit for the publish and the wait together")
+	inv.flags.Uint64Var(&f.base, "base", 0, "accepted `VERSION` that the sheet is based on; if another one is accepted, nothing is published")
+	inv.flags.StringVar(&f.nodes, "node", "", "admin addresses of nodes to query, separated by commas; by default the platform's VM list is used")
+	inv.flags.DurationVar(&f.timeout, "timeout", defaultPublishTimeout, "time limit of the publish, including the wait until the version is in force")
 	f.tls.add(inv)
 	code, ok := inv.parse("FILE")
 	if ok {
@@ -141,7 +142,7 @@
 	case f.by == "":
 		return f, inv.usageError("flag -by is required"), false
 	case f.timeout <= 0:
-		return f, inv.usageError("flag -timeout: %s is not allowed, it must be above 0", f.timeout), false
+		return f, inv.usageError("flag -timeout: %s is not allowed, must be greater than 0", f.timeout), false
 	}
 	return f, exitOK, true
 }
@@ -157,8 +158,8 @@
 	return statusclient.NewPeers(s.GetFleet(), kv, creds.Client), nil
 }
 
-// highestInForce is 0 when no node answers in time: at the first publish of a
-// fleet there may be none.
+// highestInForce returns the highest version that any node has in force, or 0 if no node
+// responds within the time limit. At the first publish of a fleet there may be no nodes.
 func highestInForce(ctx context.Context, fleet publish.Fleet, limit time.Duration) uint64 {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -204,13 +205,13 @@
 	return report
 }
 
-func newInForceReport(f publish.RolloutStatus) *inForceReport {
-	report := &inForceReport{Everywhere: f.Done(), Nodes: f.Nodes, TookMs: f.Elapsed.Milliseconds()}
-	for _, lag := range f.Lagging {
+func newInForceReport(s publish.RolloutStatus) *inForceReport {
+	report := &inForceReport{Everywhere: s.Done(), Nodes: s.Nodes, TookMs: s.Elapsed.Milliseconds()}
+	for _, lag := range s.Lagging {
 		report.Lagging = append(report.Lagging, lagReport(lag))
 	}
-	if f.Err != nil {
-		report.Error = f.Err.Error()
+	if s.Err != nil {
+		report.Error = s.Err.Error()
 	}
 	return report
 }
@@ -241,11 +242,11 @@
 	switch {
 	case f == nil:
 	case f.Error != "":
-		inv.printf("not known whether it is in force: %s\n", f.Error)
+		inv.printf("unknown whether the version is in force: %s\n", f.Error)
 	case f.Everywhere:
-		inv.printf("in force on all %d nodes known after %d ms\n", f.Nodes, f.TookMs)
+		inv.printf("in force on all %d known nodes after %d ms\n", f.Nodes, f.TookMs)
 	default:
-		inv.printf("in force on %d of %d nodes known after %d ms; lagging:\n", f.Nodes-len(f.Lagging), f.Nodes, f.TookMs)
+		inv.printf("in force on %d of %d known nodes after %d ms; lagging:\n", f.Nodes-len(f.Lagging), f.Nodes, f.TookMs)
 		for _, lag := range f.Lagging {
 			inv.printf("  %s: %s\n", lag.Node, lag.Reason)
 		}
--- a/cmd/carobmillctl/sheetshow.go
+++ b/cmd/carobmillctl/sheetshow.go
@@ -11,10 +11,10 @@
 )
 
 var sheetShowCommand = command{
-	name:    "sheet show",
-	form:    "-platform URL -fleet NAME [-o text|json]",
-	summary: "Write the accepted sheet as YAML, ready to be changed and published again.",
-	run:     runSheetShow,
+	name:     "sheet show",
+	synopsis: "-platform URL -fleet NAME [-o text|json]",
+	summary:  "Print the accepted sheet as YAML, ready to be edited and published.",
+	run:      runSheetShow,
 }
 
 func runSheetShow(ctx context.Context, inv *invocation) int {
--- a/cmd/carobmillctl/standins.go
+++ b/cmd/carobmillctl/standins.go
@@ -10,15 +10,15 @@
 )
 
 var standinsCommand = command{
-	name:    "standins",
-	form:    "-sheet FILE -platform ADDR",
-	summary: "Run stand-ins for the platform and the sheet's backend servers, to try nodes as processes; until interrupted.",
-	run:     runStandins,
+	name:     "standins",
+	synopsis: "-sheet FILE -platform ADDR",
+	summary:  "Run stand-ins for the platform and the sheet's backend servers until interrupted, for nodes that run as processes.",
+	run:      runStandins,
 }
 
 func runStandins(ctx context.Context, inv *invocation) int {
-	file := inv.flags.String("sheet", defaultSheet, "the sheet, a YAML `FILE`; its addresses are listened at")
-	platform := inv.flags.String("platform", "127.0.0.1:2379", "address (`ADDR`, IP number and port) of the platform's stand-in")
+	file := inv.flags.String("sheet", defaultSheet, "the sheet, a YAML `FILE`; the backend servers listen on its addresses")
+	platform := inv.flags.String("platform", "127.0.0.1:2379", "address (`ADDR`, IP address and port) of the platform's stand-in")
 	if code, ok := inv.parse(); !ok {
 		return code
 	}
@@ -36,7 +36,7 @@
 		return inv.failed(err)
 	}
 	defer d.Close()
-	inv.printf("platform at %s, %d backend servers; end with Ctrl-C\n", d.PlatformURL, len(d.Backends))
+	inv.printf("platform at %s, %d backend servers; press Ctrl-C to stop\n", d.PlatformURL, len(d.Backends))
 	<-ctx.Done()
 	return exitOK
 }
--- a/cmd/carobmillctl/status.go
+++ b/cmd/carobmillctl/status.go
@@ -19,14 +19,14 @@
 const statusTimeout = 10 * time.Second
 
 var statusCommand = command{
-	name:    "status",
-	form:    "-node ADDR[,ADDR...] | -peer ADDR[,ADDR...] -fleet NAME " + tlsForm + " [-replicas] [-o text|json]",
-	summary: "Show the whole fleet as one node sees it: versions, members, owners, cold and draining replicas.",
-	run:     runStatus,
+	name:     "status",
+	synopsis: "-node ADDR[,ADDR...] | -peer ADDR[,ADDR...] -fleet NAME " + tlsSynopsis + " [-replicas] [-o text|json]",
+	summary:  "Show the status of the whole fleet as collected by one node: versions, members, owners, cold and draining replicas.",
+	run:      runStatus,
 }
 
-// statusFlags say whom to ask: the admin listeners of nodes, or their peer
-// listeners, which speak TLS where settings name keys.
+// statusFlags are the flags of the status command. Either nodes or peers is set: the status
+// is queried from admin listeners, or from peer listeners, which may use TLS.
 type statusFlags struct {
 	nodes, peers, fleet string
 	tls                 tlsFlags
@@ -62,10 +62,10 @@
 
 func (inv *invocation) statusFlags() (*statusFlags, int, bool) {
 	f := &statusFlags{}
-	inv.flags.StringVar(&f.nodes, "node", "", "admin address (`ADDR`, IP number and port) of a node; of several the first that answers is asked")
-	inv.flags.StringVar(&f.peers, "peer", "", "peer address (`ADDR`, IP number and port) of a node, in place of -node; of several the first that answers is asked")
+	inv.flags.StringVar(&f.nodes, "node", "", "admin address (`ADDR`, IP address and port) of a node; of several, the first that responds is used")
+	inv.flags.StringVar(&f.peers, "peer", "", "peer address (`ADDR`, IP address and port) of a node, instead of -node; of several, the first that responds is used")
 	inv.flags.StringVar(&f.fleet, "fleet", "", "`NAME` of the fleet, required with -peer")
-	inv.flags.BoolVar(&f.replicas, "replicas", false, "list every replica with its owners, not only those that are not warm")
+	inv.flags.BoolVar(&f.replicas, "replicas", false, "list every replica with its owners, including warm ones")
 	f.tls.add(inv)
 	code, ok := inv.parse()
 	if ok {
@@ -75,13 +75,13 @@
 	case !ok:
 		return f, code, false
 	case f.nodes == "" && f.peers == "":
-		return f, inv.usageError("flag -node is required, or -peer"), false
+		return f, inv.usageError("flag -node or -peer is required"), false
 	case f.nodes != "" && f.peers != "":
-		return f, inv.usageError("flags -node and -peer exclude each other"), false
+		return f, inv.usageError("flags -node and -peer are mutually exclusive"), false
 	case f.peers != "" && f.fleet == "":
 		return f, inv.usageError("flag -fleet is required with -peer"), false
-	case f.nodes != "" && f.tls.given():
-		return f, inv.usageError("flags -tls-certificate, -tls-key and -tls-authority go with -peer: admin listeners speak plain HTTP"), false
+	case f.nodes != "" && f.tls.anySet():
+		return f, inv.usageError("flags -tls-certificate, -tls-key and -tls-authority require -peer: admin listeners speak plain HTTP"), false
 	}
 	code, ok = inv.checkAddresses("node", f.nodes)
 	if ok {
@@ -90,14 +90,15 @@
 	return f, code, ok
 }
 
-// checkAddresses refuses a list that holds anything but IP numbers with ports.
+// checkAddresses reports a usage error unless list is empty or a comma-separated list of
+// IP addresses with ports.
 func (inv *invocation) checkAddresses(name, list string) (code int, ok bool) {
 	if list == "" {
 		return exitOK, true
 	}
 	for _, address := range strings.Split(list, ",") {
 		if _, err := netip.ParseAddrPort(address); err != nil {
-			return inv.usageError("flag -%s: %q is not an IP number and a port", name, address), false
+			return inv.usageError("flag -%s: %q is not an IP address and port", name, address), false
 		}
 	}
 	return exitOK, true
@@ -132,13 +133,13 @@
 	inv.printReplicas(list, all)
 }
 
-// printVersions gives the versions in force and how many nodes have each.
+// printVersions prints the versions in force with the number of nodes that have each.
 func (inv *invocation) printVersions(list []*pb.NodeStatus) {
 	count := make(map[uint64]int)
-	silent := 0
+	unreachable := 0
 	for _, n := range list {
 		if n.GetError() != "" {
-			silent++
+			unreachable++
 			continue
 		}
 		count[n.GetConfigVersion()]++
@@ -152,8 +153,8 @@
 	for _, version := range versions {
 		inv.printf("configuration version %d in force on %d\n", version, count[version])
 	}
-	if silent > 0 {
-		inv.printf("cannot be asked: %d\n", silent)
+	if unreachable > 0 {
+		inv.printf("cannot be asked: %d\n", unreachable)
 	}
 }
 
@@ -173,34 +174,34 @@
 	_ = w.Flush()
 }
 
-// printMembers lists members that are not alive, and by how many nodes they are
-// seen so: nodes disagree during a partition.
+// printMembers prints the members that are not alive, with the number of nodes that report
+// that state. Nodes disagree during a network partition.
 func (inv *invocation) printMembers(list []*pb.NodeStatus) {
-	type sight struct {
+	type observation struct {
 		node  string
 		state pb.MemberState
 	}
-	seen := make(map[sight]int)
+	counts := make(map[observation]int)
 	for _, n := range list {
 		for _, m := range n.GetMembers() {
 			if m.GetState() != pb.MemberState_MEMBER_STATE_ALIVE {
-				seen[sight{m.GetNode(), m.GetState()}]++
+				counts[observation{m.GetNode(), m.GetState()}]++
 			}
 		}
 	}
-	sights := make([]sight, 0, len(seen))
-	for s := range seen {
-		sights = append(sights, s)
+	observations := make([]observation, 0, len(counts))
+	for o := range counts {
+		observations = append(observations, o)
 	}
-	sort.Slice(sights, func(i, j int) bool {
-		if sights[i].node != sights[j].node {
-			return sights[i].node < sights[j].node
+	sort.Slice(observations, func(i, j int) bool {
+		if observations[i].node != observations[j].node {
+			return observations[i].node < observations[j].node
 		}
-		return sights[i].state < sights[j].state
+		return observations[i].state < observations[j].state
 	})
-	for _, s := range sights {
-		inv.printf("member %s is %s as seen by %d nodes\n", s.node,
-			rule.ShortName(s.state.Descriptor().Values().ByNumber(s.state.Number())), seen[s])
+	for _, o := range observations {
+		inv.printf("member %s is %s as seen by %d nodes\n", o.node,
+			rule.ShortName(o.state.Descriptor().Values().ByNumber(o.state.Number())), counts[o])
 	}
 }
 
--- a/cmd/carobmillctl/statuscentres.go
+++ b/cmd/carobmillctl/statuscentres.go
@@ -8,67 +8,68 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// centreView sums up the nodes and replicas of one data centre.
-type centreView struct {
+// dataCentreSummary aggregates the nodes and replicas of one data centre.
+type dataCentreSummary struct {
 	name  string
 	nodes int
 	ready int
-	// silent nodes could not be asked.
-	silent   int
-	out      bool
+	// unreachable counts the nodes whose status could not be queried.
+	unreachable  int
+	outOfService bool
+	// replicas maps the names of replicas to their states.
 	replicas map[string]pb.ReplicaState
 }
 
 func (inv *invocation) printDataCentres(list []*pb.NodeStatus) {
 	inv.printf("\n")
 	w := tabwriter.NewWriter(inv.stdout, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(w, "DATA CENTRE\tSTATE\tNODES\tREADY\tNOT ASKED\tREPLICAS\tCOLD\tDRAINING\tLOST")
-	for _, v := range centreViews(list) {
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", v.name, inOrOut(v.out), v.nodes, v.ready, v.silent,
-			len(v.replicas), v.count(pb.ReplicaState_REPLICA_STATE_COLD),
-			v.count(pb.ReplicaState_REPLICA_STATE_DRAINING), v.count(pb.ReplicaState_REPLICA_STATE_LOST))
+	_, _ = fmt.Fprintln(w, "DATA CENTRE\tSTATE\tNODES\tREADY\tNO STATUS\tREPLICAS\tCOLD\tDRAINING\tLOST")
+	for _, dc := range summariseDataCentres(list) {
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", dc.name, dataCentreState(dc.outOfService), dc.nodes, dc.ready, dc.unreachable,
+			len(dc.replicas), dc.count(pb.ReplicaState_REPLICA_STATE_COLD),
+			dc.count(pb.ReplicaState_REPLICA_STATE_DRAINING), dc.count(pb.ReplicaState_REPLICA_STATE_LOST))
 	}
 	_ = w.Flush()
 }
 
-func centreViews(list []*pb.NodeStatus) []*centreView {
-	byName := make(map[string]*centreView)
-	var views []*centreView
+func summariseDataCentres(list []*pb.NodeStatus) []*dataCentreSummary {
+	byName := make(map[string]*dataCentreSummary)
+	var summaries []*dataCentreSummary
 	for _, n := range list {
-		v := byName[n.GetDataCentre()]
-		if v == nil {
-			v = &centreView{name: n.GetDataCentre(), replicas: make(map[string]pb.ReplicaState)}
-			byName[v.name] = v
-			views = append(views, v)
+		dc := byName[n.GetDataCentre()]
+		if dc == nil {
+			dc = &dataCentreSummary{name: n.GetDataCentre(), replicas: make(map[string]pb.ReplicaState)}
+			byName[dc.name] = dc
+			summaries = append(summaries, dc)
 		}
-		v.add(n)
+		dc.add(n)
 	}
-	sort.Slice(views, func(i, j int) bool { return views[i].name < views[j].name })
-	return views
+	sort.Slice(summaries, func(i, j int) bool { return summaries[i].name < summaries[j].name })
+	return summaries
 }
 
-// add takes in one node. Of several owners' views of a replica the first-ranked
-// one's counts.
-func (v *centreView) add(n *pb.NodeStatus) {
-	v.nodes++
+// add includes the status of one node. If several owners report a replica, the state
+// reported by the owner of rank 0 is used.
+func (dc *dataCentreSummary) add(n *pb.NodeStatus) {
+	dc.nodes++
 	if n.GetError() != "" {
-		v.silent++
+		dc.unreachable++
 		return
 	}
 	if n.GetReady() {
-		v.ready++
+		dc.ready++
 	}
-	v.out = v.out || n.GetDataCentreOut()
+	dc.outOfService = dc.outOfService || n.GetDataCentreOut()
 	for _, owned := range n.GetOwned() {
-		if _, ok := v.replicas[owned.GetReplica()]; !ok || owned.GetRank() == 0 {
-			v.replicas[owned.GetReplica()] = owned.GetNews().GetState()
+		if _, ok := dc.replicas[owned.GetReplica()]; !ok || owned.GetRank() == 0 {
+			dc.replicas[owned.GetReplica()] = owned.GetNews().GetState()
 		}
 	}
 }
 
-func (v *centreView) count(state pb.ReplicaState) int {
+func (dc *dataCentreSummary) count(state pb.ReplicaState) int {
 	count := 0
-	for _, s := range v.replicas {
+	for _, s := range dc.replicas {
 		if s == state {
 			count++
 		}
@@ -76,8 +77,8 @@
 	return count
 }
 
-func inOrOut(out bool) string {
-	if out {
+func dataCentreState(outOfService bool) string {
+	if outOfService {
 		return "out"
 	}
 	return "in service"
--- a/cmd/carobmillctl/statusreplicas.go
+++ b/cmd/carobmillctl/statusreplicas.go
@@ -9,7 +9,7 @@
 	"github.com/carobmill/carobmill/policy/rule"
 )
 
-// replicaView is a replica with its owners in the order of their rank.
+// replicaView is a replica with the views of its owners, ordered by rank.
 type replicaView struct {
 	service string
 	replica string
@@ -33,10 +33,10 @@
 		}
 		shown++
 		for _, o := range v.owners {
-			news := o.owned.GetNews()
+			status := o.owned.GetNews()
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%d/%d\t%d-%d\n", v.service, v.replica, o.node,
-				o.owned.GetRank(), replicaState(news), news.GetInFlight(), news.GetLimit(),
-				o.owned.GetConnections(), o.owned.GetConnectionLimit(), news.GetOldestSnapshot(), news.GetNewestSnapshot())
+				o.owned.GetRank(), replicaState(status), status.GetInFlight(), status.GetLimit(),
+				o.owned.GetConnections(), o.owned.GetConnectionLimit(), status.GetOldestSnapshot(), status.GetNewestSnapshot())
 		}
 	}
 	if shown > 0 {
@@ -70,7 +70,8 @@
 	return views
 }
 
-// warm reports whether no owner sees the replica as anything but warm.
+// warm reports whether every owner reports the replica as warm or has not reported its
+// state yet.
 func (v *replicaView) warm() bool {
 	for _, o := range v.owners {
 		state := o.owned.GetNews().GetState()
@@ -81,9 +82,9 @@
 	return true
 }
 
-func replicaState(news *pb.ReplicaNews) string {
-	if news.GetState() == pb.ReplicaState_REPLICA_STATE_UNSPECIFIED {
-		return "not known yet"
+func replicaState(status *pb.ReplicaNews) string {
+	if status.GetState() == pb.ReplicaState_REPLICA_STATE_UNSPECIFIED {
+		return "unknown"
 	}
-	return rule.ShortName(news.GetState().Descriptor().Values().ByNumber(news.GetState().Number()))
+	return rule.ShortName(status.GetState().Descriptor().Values().ByNumber(status.GetState().Number()))
 }
