--- a/cmd/carobmill/process_test.go
+++ b/cmd/carobmill/process_test.go
@@ -214,7 +214,7 @@
 	runs := make(map[string]int)
 	for name, server := range d.Backends {
 		counts := server.Counts()
-		c.Check(counts.ColdViolations, qt.Equals, uint64(0), qt.Commentf("%s", name))
+		c.Check(counts.ColdOverloads, qt.Equals, uint64(0), qt.Commentf("%s", name))
 		c.Check(counts.MaxConnections <= connections, qt.IsTrue, qt.Commentf("%s: %+v", name, counts))
 		for _, run := range server.RunLog() {
 			runs[run.Digest]++
--- a/cmd/carobmillctl/publish_test.go
+++ b/cmd/carobmillctl/publish_test.go
@@ -51,7 +51,7 @@
 	c.Assert(report.InForce.Everywhere, qt.IsTrue)
 	c.Assert(report.InForce.Nodes, qt.Equals, 2)
 
-	platform.LoseAnswers(1)
+	platform.DropWriteReplies(1)
 	out := edited(c, "{name: nakuru-1, region: kenya, state: in_service}", "{name: nakuru-1, region: kenya, state: out}")
 	code, stdout, _ := ctl("sheet", "check", out, "-platform", url)
 	c.Assert(code, qt.Equals, exitOK)
--- a/cmd/demo/demo_test.go
+++ b/cmd/demo/demo_test.go
@@ -13,7 +13,7 @@
 	"github.com/carobmill/carobmill/node/sheetfile"
 )
 
-func TestDemoAnswersInFull(t *testing.T) {
+func TestDemoReturnsCompleteAnswers(t *testing.T) {
 	for _, file := range []string{"../../examples/kenya.yaml", "../../examples/chile.yaml"} {
 		t.Run(file, func(t *testing.T) {
 			c := qt.New(t)
--- a/cmd/load/load_test.go
+++ b/cmd/load/load_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestArrivalsArePoissonAndFixedByTheSeed(t *testing.T) {
+func TestArrivalsArePoissonAndDeterministic(t *testing.T) {
 	c := qt.New(t)
 	var gaps, squares, first float64
 	var before time.Duration
@@ -60,7 +60,7 @@
 	c.Assert(math.Abs(first/float64(n)-0.75) < 0.01, qt.IsTrue)
 }
 
-func TestAStallCountsFromTheIntendedSendTime(t *testing.T) {
+func TestLatencyIncludesWaitFromIntendedSendTime(t *testing.T) {
 	// The server answers nothing for 300 ms and then everything at once. Callers
 	// who came during the stall waited for the rest of it, so the stall must show
 	// in the report's latencies; requests above the bound count as not sent, and
@@ -121,7 +121,7 @@
 	c.Check(err, qt.IsNil)
 }
 
-func TestARunWithoutAnswersStillReports(t *testing.T) {
+func TestRunWithoutAnswersReturnsReport(t *testing.T) {
 	c := qt.New(t)
 	config := testConfig()
 	config.Rate, config.Duration = 50, 100*time.Millisecond
@@ -132,7 +132,7 @@
 	checkForms(c, report)
 }
 
-func TestFaultyInputNamesTheFlag(t *testing.T) {
+func TestInvalidInputErrorNamesFlag(t *testing.T) {
 	c := qt.New(t)
 	_, err := ParseMix("timing")
 	c.Assert(err, qt.ErrorMatches, `flag -mix: "timing" is not SERVICE/CLASS\[=SHARE\]`)
--- a/node/backend/batch_test.go
+++ b/node/backend/batch_test.go
@@ -167,10 +167,10 @@
 	// A reply with an unknown or repeated ID, from another snapshot, or a missing reply
 	// must be counted, must not affect the other items, and must close the connection.
 	for fault, want := range map[standin.Fault]struct{ answered, mismatches int }{
-		standin.FaultCrossedReply:  {2, 2},
+		standin.FaultWrongAttempt:  {2, 2},
 		standin.FaultWrongSnapshot: {2, 1},
 		standin.FaultMissingItem:   {2, 1},
-		standin.FaultRepeatedItem:  {3, 1},
+		standin.FaultDuplicateItem: {3, 1},
 		standin.FaultError:         {2, 0},
 	} {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
--- a/node/backend/execute_test.go
+++ b/node/backend/execute_test.go
@@ -25,10 +25,10 @@
 	}{
 		{standin.FaultResetBeforeRun, 0},
 		{standin.FaultLostReply, 1},
-		{standin.FaultCutReply, 1},
+		{standin.FaultTruncatedReply, 1},
 		{standin.FaultError, 1},
-		{standin.FaultCrossedReply, 1},
-		{standin.FaultBadHeaders, 1},
+		{standin.FaultWrongAttempt, 1},
+		{standin.FaultMalformedHeaders, 1},
 	}
 	forEachProtocol(t, func(t *testing.T, protocol pb.Protocol) {
 		h := newHarness(t, protocol, standin.Options{}, backend.Options{}, 2)
@@ -128,7 +128,7 @@
 	// for this one.
 	h := newHarness(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{}, backend.Options{}, 1)
 	h.server.Shed(true)
-	h.server.SetFault(standin.FaultCrossedReply, 1)
+	h.server.SetFault(standin.FaultWrongAttempt, 1)
 	reply := h.do(h.execute("x", "id"))
 	h.Assert(reply.Reason, qt.Equals, pb.Reason_REASON_MISMATCH)
 	h.Assert(reply.Evidence, qt.Equals, unknown)
--- a/node/backend/faults_test.go
+++ b/node/backend/faults_test.go
@@ -18,11 +18,11 @@
 	// A reply of another attempt or snapshot, with malformed headers, or above the size
 	// limit must not be returned as a result. The next query must succeed.
 	faults := map[standin.Fault]pb.Reason{
-		standin.FaultCrossedReply:  pb.Reason_REASON_MISMATCH,
-		standin.FaultWrongSnapshot: pb.Reason_REASON_MISMATCH,
-		standin.FaultBadHeaders:    pb.Reason_REASON_MISMATCH,
-		standin.FaultOversized:     pb.Reason_REASON_BACKEND,
-		standin.FaultError:         pb.Reason_REASON_BACKEND,
+		standin.FaultWrongAttempt:     pb.Reason_REASON_MISMATCH,
+		standin.FaultWrongSnapshot:    pb.Reason_REASON_MISMATCH,
+		standin.FaultMalformedHeaders: pb.Reason_REASON_MISMATCH,
+		standin.FaultOversizedReply:   pb.Reason_REASON_BACKEND,
+		standin.FaultError:            pb.Reason_REASON_BACKEND,
 	}
 	forEachProtocol(t, func(t *testing.T, protocol pb.Protocol) {
 		h := newHarness(t, protocol, standin.Options{}, backend.Options{MaxResultBytes: 64 << 10}, 1)
@@ -94,7 +94,7 @@
 		h := newHarness(t, protocol, standin.Options{Slots: share, Queue: -1}, opts, share)
 		h.openConnections(share)
 		opened := h.client.Stats().Dialled
-		h.server.SilenceConnections()
+		h.server.BlackholeConnections()
 
 		lost := h.do(h.call("lost"))
 		h.Assert(lost.Reason, qt.Equals, pb.Reason_REASON_CONNECTION)
@@ -114,7 +114,7 @@
 	// the connection before the next query.
 	h := newHarness(t, pb.Protocol_PROTOCOL_H2C, standin.Options{}, backend.Options{ProbeTimeout: 50 * time.Millisecond}, 1)
 	h.Assert(h.do(h.call("first")).OK(), qt.IsTrue)
-	h.server.SilenceConnections()
+	h.server.BlackholeConnections()
 	h.waitUntil("the connection is closed", func() bool { return h.client.Connections("r0") == 0 })
 	h.Assert(h.do(h.call("second")).OK(), qt.IsTrue)
 }
@@ -156,7 +156,7 @@
 			<-released
 		}
 		counts := h.server.Counts()
-		h.Assert(counts.ColdViolations, qt.Equals, uint64(0))
+		h.Assert(counts.ColdOverloads, qt.Equals, uint64(0))
 		h.Assert(counts.Cancelled > 10, qt.IsTrue, qt.Commentf("%+v", counts))
 	})
 }
--- a/node/forward/forward_test.go
+++ b/node/forward/forward_test.go
@@ -107,7 +107,7 @@
 		sendRequests(1500 * ms)
 		r.Assert(f.Isolated(), qt.IsTrue)
 		for _, dc := range []string{"b", "c", "d", "e"} {
-			r.network.Mend("a", dc)
+			r.network.Restore("a", dc)
 		}
 		sendRequests(1500 * ms)
 		r.Assert(f.Isolated(), qt.IsFalse)
--- a/node/owner/batch_test.go
+++ b/node/owner/batch_test.go
@@ -103,13 +103,13 @@
 		qt.Check(t, r.server.Counts().Batches, qt.Equals, uint64(2))
 		qt.Check(t, r.server.Counts().MaxBatch, qt.Equals, 8)
 		r.submitN(8, false)
-		r.server.TurnCold(true)
+		r.server.BeginColdStart(true)
 		for range 200 {
 			time.Sleep(serviceTime)
 			r.submitN(1, false)
 		}
 		counts := r.server.Counts()
-		qt.Check(t, counts.ColdViolations, qt.Equals, uint64(0))
+		qt.Check(t, counts.ColdOverloads, qt.Equals, uint64(0))
 		qt.Check(t, counts.Batches, qt.Equals, uint64(2))
 		qt.Check(t, counts.Queries > 60+14+8, qt.IsTrue)
 	})
--- a/node/owner/claim_test.go
+++ b/node/owner/claim_test.go
@@ -58,7 +58,7 @@
 		f.left.Store(1)
 		qt.Check(t, r.countReasons(1), qt.DeepEquals, map[pb.Reason]int{cold: 1})
 		f.left.Store(unlimitedCalls)
-		r.server.TurnCold(false)
+		r.server.BeginColdStart(false)
 		qt.Check(t, r.countReasons(3), qt.DeepEquals, map[pb.Reason]int{ok: 3})
 		qt.Check(t, r.server.Counts().MaxColdInFlight, qt.Equals, 1)
 	})
--- a/node/platform/client_test.go
+++ b/node/platform/client_test.go
@@ -39,7 +39,7 @@
 	_, err = kv.CompareAndSwap(ctx, "a/b c", 0, []byte("two"))
 	c.Assert(err, qt.ErrorIs, platform.ErrConflict)
 
-	s.LoseAnswers(1)
+	s.DropWriteReplies(1)
 	_, err = kv.CompareAndSwap(ctx, "a/b c", rev, []byte("three"))
 	c.Assert(err, qt.ErrorIs, platform.ErrAmbiguous)
 	c.Assert(string(s.Value("a/b c")), qt.Equals, "three")
@@ -116,7 +116,7 @@
 	defer cancel()
 	rev, err := kv.CompareAndSwap(ctx, "k", 0, []byte("one"))
 	c.Assert(err, qt.IsNil)
-	s.SetStale(true)
+	s.SetStaleReads(true)
 	next, err := kv.CompareAndSwap(ctx, "k", rev, []byte("two"))
 	c.Assert(err, qt.IsNil)
 	e, err := kv.Get(ctx, "k")
@@ -131,7 +131,7 @@
 	for s.Calls().Watches == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	s.SetStale(false)
+	s.SetStaleReads(false)
 	e = <-got
 	c.Assert(string(e.Value), qt.Equals, "two")
 	c.Assert(e.Revision, qt.Equals, next)
--- a/node/relay/neighbours_test.go
+++ b/node/relay/neighbours_test.go
@@ -104,7 +104,7 @@
 		}
 		c.Assert(lost, qt.Equals, len(c.coordinators), qt.Commentf("batches lost, at most one per node"))
 		for _, n := range c.coordinators {
-			c.network.Mend("sender", n.host)
+			c.network.Restore("sender", n.host)
 		}
 		for range 20 {
 			time.Sleep(500 * time.Millisecond)
--- a/node/scenario/batch_test.go
+++ b/node/scenario/batch_test.go
@@ -27,7 +27,7 @@
 		c := server.Counts()
 		sum.Queries += c.Queries
 		sum.Batches += c.Batches
-		sum.ColdViolations += c.ColdViolations
+		sum.ColdOverloads += c.ColdOverloads
 		sum.MaxBatch = max(sum.MaxBatch, c.MaxBatch)
 	}
 	return sum
@@ -54,7 +54,7 @@
 		logPartial(t, answers)
 		counts := batched(d)
 		t.Logf("%s; %d queries, %d batches of up to %d", s, counts.Queries, counts.Batches, counts.MaxBatch)
-		qt.Assert(t, counts.ColdViolations, qt.Equals, uint64(0))
+		qt.Assert(t, counts.ColdOverloads, qt.Equals, uint64(0))
 		qt.Assert(t, counts.Batches > 100, qt.IsTrue)
 		qt.Assert(t, counts.MaxBatch <= testBatch, qt.IsTrue)
 		qt.Assert(t, s.complete, qt.Equals, s.total)
--- a/node/scenario/change_test.go
+++ b/node/scenario/change_test.go
@@ -20,7 +20,7 @@
 			for _, s := range g.GetShards() {
 				for _, r := range s.GetReplicas() {
 					counts := d.Backends[r.GetName()].Counts()
-					if counts.ColdViolations > 0 || counts.RefusedConnections > 0 || counts.MaxConnections > int(svc.GetConnections()) {
+					if counts.ColdOverloads > 0 || counts.RefusedConnections > 0 || counts.MaxConnections > int(svc.GetConnections()) {
 						t.Errorf("%s: %+v", r.GetName(), counts)
 					}
 				}
--- a/node/scenario/partition_test.go
+++ b/node/scenario/partition_test.go
@@ -30,7 +30,7 @@
 		case cut:
 			d.Network.Cut(alone, other)
 		default:
-			d.Network.Mend(alone, other)
+			d.Network.Restore(alone, other)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 		c.Assert(saw.Interrupted, qt.HasLen, 0)
 		c.Assert(saw.Complete > 0, qt.IsTrue)
 		for name, server := range d.Backends {
-			c.Check(server.Counts().ColdViolations, qt.Equals, uint64(0), qt.Commentf("%s", name))
+			c.Check(server.Counts().ColdOverloads, qt.Equals, uint64(0), qt.Commentf("%s", name))
 		}
 	})
 }
--- a/node/scenario/restart_test.go
+++ b/node/scenario/restart_test.go
@@ -89,7 +89,7 @@
 	// The servers do not even notice that nodes give up.
 	time.Sleep(100 * time.Millisecond)
 	for _, server := range w.d.Backends {
-		server.SilenceConnections()
+		server.BlackholeConnections()
 	}
 	callers.Wait()
 	time.Sleep(time.Second)
--- a/node/scenario/silent_test.go
+++ b/node/scenario/silent_test.go
@@ -49,7 +49,7 @@
 	turn := func(times int) {
 		for range times {
 			for _, name := range turning {
-				d.Backends[name].TurnCold(false)
+				d.Backends[name].BeginColdStart(false)
 				time.Sleep(330 * time.Millisecond)
 			}
 		}
@@ -67,7 +67,7 @@
 	checkLoads(t, d)
 	for name, server := range d.Backends {
 		counts := server.Counts()
-		if most := max(counts.MaxColdInFlight, counts.MaxAtTurn); most > 1 {
+		if most := max(counts.MaxColdInFlight, counts.MaxInFlightAtColdStart); most > 1 {
 			t.Errorf("%s had %d requests in flight while it bore 1", name, most)
 		}
 	}
--- a/node/scenario/snapshot_test.go
+++ b/node/scenario/snapshot_test.go
@@ -17,7 +17,7 @@
 func flip(d *deployment.Deployment, snapshot uint64, apart time.Duration) {
 	for _, r := range d.Sheet.GetServices()[0].GetGenerations()[0].GetShards() {
 		for _, replica := range r.GetReplicas() {
-			d.Backends[replica.GetName()].Flip(snapshot-1, snapshot)
+			d.Backends[replica.GetName()].SetSnapshots(snapshot-1, snapshot)
 			time.Sleep(apart)
 		}
 	}
--- a/node/scenario/writes_partition_test.go
+++ b/node/scenario/writes_partition_test.go
@@ -67,7 +67,7 @@
 		cut := time.Now()
 		w.d.Network.Cut("nairobi", "nakuru")
 		time.Sleep(500 * time.Millisecond)
-		w.d.Network.Mend("nairobi", "nakuru")
+		w.d.Network.Restore("nairobi", "nakuru")
 		time.Sleep(6 * time.Second)
 		close(stop)
 		paying.Wait()
--- a/node/scenario/writes_test.go
+++ b/node/scenario/writes_test.go
@@ -225,11 +225,11 @@
 	case 1:
 		server.SetFault(backend.FaultLostReply, 1)
 	case 2:
-		server.SetFault(backend.FaultCutReply, 1)
+		server.SetFault(backend.FaultTruncatedReply, 1)
 	case 3:
 		server.ResetConnections()
 	case 4:
-		w.d.Platform.LoseAnswers(2)
+		w.d.Platform.DropWriteReplies(2)
 	case 5:
 		w.d.Platform.DropWrites(2)
 	case 6:
@@ -245,7 +245,7 @@
 }
 
 func duplicatesWithLostAnswers(t *testing.T, w *writes) {
-	w.d.Platform.LoseAnswers(3)
+	w.d.Platform.DropWriteReplies(3)
 	answers := make([]*caller.ExecuteAnswer, 2*len(w.d.Nodes))
 	var wg sync.WaitGroup
 	for i := range answers {
@@ -387,7 +387,7 @@
 
 func silentConnections(t *testing.T, w *writes) {
 	for _, server := range w.d.Backends {
-		server.SilenceConnections()
+		server.BlackholeConnections()
 	}
 	// Longer than a connection is taken to be alive after its last byte.
 	time.Sleep(200 * time.Millisecond)
--- a/standin/backend/batch.go
+++ b/standin/backend/batch.go
@@ -136,7 +136,7 @@
 	defer b.mu.Unlock()
 	// A caller that has gone is noticed by the items that still run.
 	_, _ = protodelim.MarshalTo(b.out, line)
-	if b.server.takeFault(FaultRepeatedItem) {
+	if b.server.takeFault(FaultDuplicateItem) {
 		_, _ = protodelim.MarshalTo(b.out, line)
 	}
 	select {
--- a/standin/backend/cold.go
+++ b/standin/backend/cold.go
@@ -9,13 +9,13 @@
 	answered  int
 }
 
-// TurnCold begins a cold start. Unannounced, the status goes on saying warm. What
-// is in flight at that moment counts for MaxAtTurn.
-func (s *Server) TurnCold(announced bool) {
+// BeginColdStart begins a cold start. Unannounced, the status goes on saying warm. What
+// is in flight at that moment counts for MaxInFlightAtColdStart.
+func (s *Server) BeginColdStart(announced bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cold = coldStart{active: true, announced: announced}
-	s.counts.MaxAtTurn = max(s.counts.MaxAtTurn, s.inFlight)
+	s.counts.MaxInFlightAtColdStart = max(s.counts.MaxInFlightAtColdStart, s.inFlight)
 }
 
 // Cold reports whether the server is in a cold start.
@@ -39,7 +39,7 @@
 	if s.inFlight <= s.opts.Cold.InFlight {
 		return true
 	}
-	s.counts.ColdViolations++
+	s.counts.ColdOverloads++
 	s.incarnation++
 	s.cold.answered = 0
 	return false
--- a/standin/backend/handler.go
+++ b/standin/backend/handler.go
@@ -308,11 +308,11 @@
 	if err != nil {
 		panic(err)
 	}
-	if s.takeFault(FaultOversized) {
-		body = bytes.Repeat([]byte{'x'}, OversizedBody)
+	if s.takeFault(FaultOversizedReply) {
+		body = bytes.Repeat([]byte{'x'}, OversizedReplyBytes)
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	if s.takeFault(FaultCutReply) {
+	if s.takeFault(FaultTruncatedReply) {
 		_, _ = w.Write(body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
 		abort(r)
@@ -322,13 +322,13 @@
 
 // spoil applies the faults that change the reply's headers.
 func (s *Server) spoil(h http.Header) {
-	if s.takeFault(FaultCrossedReply) {
+	if s.takeFault(FaultWrongAttempt) {
 		h.Set(headerAttempt, h.Get(headerAttempt)+"-other")
 	}
 	if s.takeFault(FaultWrongSnapshot) {
 		h.Set(headerSnapshot, "1"+h.Get(headerSnapshot))
 	}
-	if s.takeFault(FaultBadHeaders) {
+	if s.takeFault(FaultMalformedHeaders) {
 		h.Set(headerSnapshot, "newest")
 		h.Set(headerSnapshots, "9-")
 		h.Set(headerLoad, "NaN")
--- a/standin/backend/server.go
+++ b/standin/backend/server.go
@@ -64,10 +64,10 @@
 	NoSnapshot uint64
 	// Cancelled counts requests whose caller went away while they waited or ran.
 	Cancelled uint64
-	// MaxAtTurn is the most that was in flight when the server turned cold.
-	MaxAtTurn int
-	// ColdViolations counts times that a cold server got more than it bears.
-	ColdViolations uint64
+	// MaxInFlightAtColdStart is the most that was in flight when the server turned cold.
+	MaxInFlightAtColdStart int
+	// ColdOverloads counts times that a cold server got more than it bears.
+	ColdOverloads uint64
 	// RefusedConnections were above the connection limit.
 	RefusedConnections uint64
 	// Accepted counts connections that were kept.
--- a/standin/backend/switches.go
+++ b/standin/backend/switches.go
@@ -15,26 +15,26 @@
 	FaultResetBeforeRun
 	// FaultLostReply runs the request and resets the connection before the reply.
 	FaultLostReply
-	// FaultCutReply runs the request and resets the connection within the reply.
-	FaultCutReply
-	// FaultCrossedReply answers with another attempt's id.
-	FaultCrossedReply
+	// FaultTruncatedReply runs the request and resets the connection within the reply.
+	FaultTruncatedReply
+	// FaultWrongAttempt answers with another attempt's id.
+	FaultWrongAttempt
 	// FaultWrongSnapshot answers from a snapshot that was not asked for.
 	FaultWrongSnapshot
-	// FaultBadHeaders answers with header values that do not parse.
-	FaultBadHeaders
-	// FaultOversized answers with a body of OversizedBody bytes.
-	FaultOversized
+	// FaultMalformedHeaders answers with header values that do not parse.
+	FaultMalformedHeaders
+	// FaultOversizedReply answers with a body of OversizedReplyBytes bytes.
+	FaultOversizedReply
 	// FaultError answers 500 after running the request.
 	FaultError
 	// FaultMissingItem leaves an item out of a batch's reply.
 	FaultMissingItem
-	// FaultRepeatedItem answers an item of a batch twice.
-	FaultRepeatedItem
+	// FaultDuplicateItem answers an item of a batch twice.
+	FaultDuplicateItem
 )
 
-// OversizedBody is the size in bytes of a FaultOversized reply.
-const OversizedBody = 4 << 20
+// OversizedReplyBytes is the size in bytes of a FaultOversizedReply reply.
+const OversizedReplyBytes = 4 << 20
 
 // SetFault makes the next n requests, or connections for FaultResetOnAccept,
 // meet the fault. A negative n is no bound.
@@ -57,8 +57,8 @@
 	return true
 }
 
-// Flip makes a newer snapshot available and drops those older than oldest.
-func (s *Server) Flip(oldest, newest uint64) {
+// SetSnapshots makes a newer snapshot available and drops those older than oldest.
+func (s *Server) SetSnapshots(oldest, newest uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.oldest, s.newest = oldest, newest
@@ -108,15 +108,15 @@
 	s.noBatches = on
 }
 
-// Straggle multiplies the service time of all requests from now on.
-func (s *Server) Straggle(factor float64) {
+// SetServiceTimeFactor multiplies the service time of all requests from now on.
+func (s *Server) SetServiceTimeFactor(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.factor = factor
 }
 
-// ReportLoad makes the server report this load, whatever its true load is.
-func (s *Server) ReportLoad(load float64) {
+// SetReportedLoad makes the server report this load, whatever its true load is.
+func (s *Server) SetReportedLoad(load float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.load, s.loadFixed = load, true
@@ -155,9 +155,9 @@
 	}
 }
 
-// SilenceConnections makes every connection that is open now lose its bytes in
+// BlackholeConnections makes every connection that is open now lose its bytes in
 // both directions for good, without being closed; new ones work.
-func (s *Server) SilenceConnections() {
+func (s *Server) BlackholeConnections() {
 	for _, c := range s.openConns() {
 		c.silent.Store(true)
 	}
--- a/standin/memnet/network.go
+++ b/standin/memnet/network.go
@@ -64,8 +64,8 @@
 	n.cuts[linkOf(a, b)] = true
 }
 
-// Mend ends a cut.
-func (n *Network) Mend(a, b string) {
+// Restore ends a cut.
+func (n *Network) Restore(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.cuts, linkOf(a, b))
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -24,9 +24,9 @@
 	s.notify()
 }
 
-// SetSilent makes every call wait without effect until the switch is off again
+// SetUnresponsive makes every call wait without effect until the switch is off again
 // or the client gives up; it is then dropped unanswered.
-func (s *Server) SetSilent(silent bool) {
+func (s *Server) SetUnresponsive(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.silent != nil {
@@ -38,16 +38,16 @@
 	}
 }
 
-// SetSlow delays every call.
-func (s *Server) SetSlow(delay time.Duration) {
+// SetDelay delays every call.
+func (s *Server) SetDelay(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.slow = delay
 }
 
-// LoseAnswers makes the next n writes of keys take effect unanswered: the
+// DropWriteReplies makes the next n writes of keys take effect unanswered: the
 // connection breaks.
-func (s *Server) LoseAnswers(n int) {
+func (s *Server) DropWriteReplies(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.loseAnswers = n
@@ -68,9 +68,9 @@
 	s.faults.dropReads = n
 }
 
-// SetStale makes reads and watches answer from the state of this moment on;
+// SetStaleReads makes reads and watches answer from the state of this moment on;
 // writes go on against the true state.
-func (s *Server) SetStale(stale bool) {
+func (s *Server) SetStaleReads(stale bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.past = nil
