--- a/node/platform/client.go
+++ b/node/platform/client.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	// callTimeout bounds every call but a waiting watch.
+	// callTimeout bounds every call except Watch.
 	callTimeout = 2 * time.Second
-	// watchWait is how long one watch call may wait at the service, and
-	// watchSlack how much later its answer may come.
-	watchWait  = 30 * time.Second
-	watchSlack = 5 * time.Second
-	// watchPause is the least time between two calls of one watch.
-	watchPause = time.Second
-	// maxReplyBytes bounds what is read of an answer. A longer one is refused as
-	// a whole: cut, a configuration may still parse, with replicas missing.
-	maxReplyBytes = MaxValueBytes + 64<<10
+	// watchWait is how long the service may hold a watch call before it responds.
+	// The client waits watchResponseMargin longer for the response.
+	watchWait           = 30 * time.Second
+	watchResponseMargin = 5 * time.Second
+	// watchMinInterval is the minimum time between the starts of two calls of one watch.
+	watchMinInterval = time.Second
+	// maxResponseBytes bounds the body of a response. A longer response is an error:
+	// a truncated configuration may still parse, with replicas missing.
+	maxResponseBytes = MaxValueBytes + 64<<10
 
 	revisionHeader = "Platform-Revision"
 	keyPath        = "/v1/kv"
@@ -40,9 +40,9 @@
 type Client struct {
 	base string
 	http *http.Client
-	// budgets must all allow a call; the last one is the whole node's.
-	budgets []*rate.Limiter
-	calls   *atomic.Uint64
+	// Every limiter must allow a call; the last one is shared by the whole node.
+	limiters []*rate.Limiter
+	calls    *atomic.Uint64
 }
 
 var (
@@ -51,50 +51,50 @@
 	_ VMList = (*Client)(nil)
 )
 
-// New returns a client of the service at baseURL that makes at most
-// callsPerSecond calls, in bursts of up to a second's worth. A nil transport
-// means http.DefaultTransport.
+// New returns a client of the service at baseURL. The client makes at most
+// callsPerSecond calls per second, with bursts of up to one second's calls. A nil
+// transport means http.DefaultTransport.
 func New(baseURL string, callsPerSecond float64, transport http.RoundTripper) *Client {
 	return &Client{
-		base:    baseURL,
-		http:    &http.Client{Transport: transport},
-		budgets: []*rate.Limiter{newBudget(callsPerSecond)},
-		calls:   new(atomic.Uint64),
+		base:     baseURL,
+		http:     &http.Client{Transport: transport},
+		limiters: []*rate.Limiter{newLimiter(callsPerSecond)},
+		calls:    new(atomic.Uint64),
 	}
 }
 
-func newBudget(callsPerSecond float64) *rate.Limiter {
+func newLimiter(callsPerSecond float64) *rate.Limiter {
 	burst := max(1, int(math.Ceil(callsPerSecond)))
 	return rate.NewLimiter(rate.Limit(callsPerSecond), burst)
 }
 
-// WithBudgetShare returns a client of the same service whose calls come out of the same
-// budget and take up at most this part of it, so that one use of the platform
-// leaves room for the others.
-func (c *Client) WithBudgetShare(part float64) *Client {
+// WithBudgetShare returns a client of the same service that uses at most the given
+// fraction of c's call budget. Its calls also count against c's budget, so that one
+// use of the platform cannot consume the calls that the others need.
+func (c *Client) WithBudgetShare(fraction float64) *Client {
 	shared := *c
-	own := newBudget(part * float64(c.budgets[0].Limit()))
-	shared.budgets = append([]*rate.Limiter{own}, c.budgets...)
+	own := newLimiter(fraction * float64(c.limiters[0].Limit()))
+	shared.limiters = append([]*rate.Limiter{own}, c.limiters...)
 	return &shared
 }
 
-// allow takes a call out of every budget.
+// allow consumes one token of each limiter, up to the first that has none.
 func (c *Client) allow() bool {
-	for _, budget := range c.budgets {
-		if !budget.Allow() {
+	for _, limiter := range c.limiters {
+		if !limiter.Allow() {
 			return false
 		}
 	}
 	return true
 }
 
-// Calls returns the number of calls made so far, with those of all shares; a
-// waiting watch counts as one.
+// Calls returns the number of calls made so far, including those of all clients
+// that share the budget. A watch call counts once, however long it waits.
 func (c *Client) Calls() uint64 { return c.calls.Load() }
 
 // Get implements KV.
 func (c *Client) Get(ctx context.Context, key string) (Entry, error) {
-	r, err := c.call(ctx, call{op: "get " + key, method: http.MethodGet, path: keyPath, query: keyQuery(key)})
+	r, err := c.do(ctx, call{op: "get " + key, method: http.MethodGet, path: keyPath, query: keyQuery(key)})
 	if err != nil {
 		return Entry{}, err
 	}
@@ -110,14 +110,14 @@
 func (c *Client) CompareAndSwapLeased(ctx context.Context, key string, revision uint64, value []byte, lease LeaseID) (uint64, error) {
 	op := "compare and swap " + key
 	if len(value) > MaxValueBytes {
-		return 0, &failure{kind: ErrTooLarge, op: op}
+		return 0, &callError{kind: ErrTooLarge, op: op}
 	}
 	query := keyQuery(key)
 	query.Set("revision", formatUint(revision))
 	if lease != 0 {
 		query.Set("lease", formatUint(uint64(lease)))
 	}
-	r, err := c.call(ctx, call{
+	r, err := c.do(ctx, call{
 		op: op, method: http.MethodPut, path: keyPath, query: query, body: value, writes: true,
 	})
 	if err != nil {
@@ -127,17 +127,17 @@
 	return e.Revision, err
 }
 
-// Watch implements KV. It asks again when the service had no change to tell
-// within its own limit on waiting.
+// Watch implements KV. It repeats the call when the service reports that the key
+// did not change within watchWait.
 func (c *Client) Watch(ctx context.Context, key string, after uint64) (Entry, error) {
 	query := keyQuery(key)
 	query.Set("after", formatUint(after))
 	query.Set("wait_ms", formatUint(uint64(watchWait.Milliseconds())))
 	for {
-		asked := time.Now()
-		r, err := c.call(ctx, call{
+		started := time.Now()
+		r, err := c.do(ctx, call{
 			op: "watch " + key, method: http.MethodGet, path: keyPath, query: query,
-			timeout: watchWait + watchSlack,
+			timeout: watchWait + watchResponseMargin,
 		})
 		if err != nil {
 			return Entry{}, err
@@ -145,11 +145,11 @@
 		if r.status != http.StatusNotModified {
 			return r.entry()
 		}
-		// Something in front of the service may answer at once. Asking again without
-		// a pause would use up the budget of the node's other calls within a second.
+		// A proxy may respond without waiting. Without a pause, the watch would then
+		// exhaust the budget of the node's other calls within a second.
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Until(asked.Add(watchPause))):
+		case <-time.After(time.Until(started.Add(watchMinInterval))):
 		}
 	}
 }
@@ -157,7 +157,7 @@
 // Grant implements Leases.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	query := url.Values{"ttl_ms": {formatUint(uint64(ttl.Milliseconds()))}}
-	r, err := c.call(ctx, call{op: "grant lease", method: http.MethodPost, path: leasePath, query: query, writes: true})
+	r, err := c.do(ctx, call{op: "grant lease", method: http.MethodPost, path: leasePath, query: query, writes: true})
 	if err != nil {
 		return 0, err
 	}
@@ -166,11 +166,11 @@
 	}
 	err = json.Unmarshal(r.body, &granted)
 	if err == nil && granted.ID == 0 {
-		// Keys written under lease 0 would never lapse.
-		err = errors.New("answer names no lease")
+		// Lease 0 means none: keys written under it would never expire.
+		err = errors.New("response contains no lease ID")
 	}
 	if err != nil {
-		return 0, &failure{kind: ErrAmbiguous, op: "grant lease", cause: err}
+		return 0, &callError{kind: ErrAmbiguous, op: "grant lease", cause: err}
 	}
 	return LeaseID(granted.ID), nil
 }
@@ -178,20 +178,20 @@
 // KeepAlive implements Leases.
 func (c *Client) KeepAlive(ctx context.Context, lease LeaseID) error {
 	query := url.Values{"id": {formatUint(uint64(lease))}}
-	_, err := c.call(ctx, call{op: "keep lease alive", method: http.MethodPut, path: leasePath, query: query, writes: true})
+	_, err := c.do(ctx, call{op: "keep lease alive", method: http.MethodPut, path: leasePath, query: query, writes: true})
 	return err
 }
 
 // Revoke implements Leases.
 func (c *Client) Revoke(ctx context.Context, lease LeaseID) error {
 	query := url.Values{"id": {formatUint(uint64(lease))}}
-	_, err := c.call(ctx, call{op: "revoke lease", method: http.MethodDelete, path: leasePath, query: query, writes: true})
+	_, err := c.do(ctx, call{op: "revoke lease", method: http.MethodDelete, path: leasePath, query: query, writes: true})
 	return err
 }
 
 // VMs implements VMList.
 func (c *Client) VMs(ctx context.Context) ([]VM, error) {
-	r, err := c.call(ctx, call{op: "list VMs", method: http.MethodGet, path: vmPath})
+	r, err := c.do(ctx, call{op: "list VMs", method: http.MethodGet, path: vmPath})
 	if err != nil {
 		return nil, err
 	}
@@ -204,7 +204,7 @@
 		} `json:"vms"`
 	}
 	if err := json.Unmarshal(r.body, &list); err != nil {
-		return nil, &failure{kind: ErrUnavailable, op: "list VMs", cause: err}
+		return nil, &callError{kind: ErrUnavailable, op: "list VMs", cause: err}
 	}
 	vms := make([]VM, 0, len(list.VMs))
 	for _, vm := range list.VMs {
@@ -223,7 +223,7 @@
 	timeout time.Duration
 }
 
-type reply struct {
+type response struct {
 	op     string
 	status int
 	header http.Header
@@ -231,12 +231,12 @@
 	writes bool
 }
 
-func (c *Client) call(ctx context.Context, k call) (reply, error) {
+func (c *Client) do(ctx context.Context, k call) (response, error) {
 	if err := ctx.Err(); err != nil {
-		return reply{}, &failure{kind: ErrUnavailable, op: k.op, cause: err}
+		return response{}, &callError{kind: ErrUnavailable, op: k.op, cause: err}
 	}
 	if !c.allow() {
-		return reply{}, &failure{kind: ErrBudget, op: k.op}
+		return response{}, &callError{kind: ErrBudget, op: k.op}
 	}
 	if k.timeout == 0 {
 		k.timeout = callTimeout
@@ -245,28 +245,28 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, k.method, c.base+k.path+"?"+k.query.Encode(), bytes.NewReader(k.body))
 	if err != nil {
-		return reply{}, &failure{kind: ErrUnavailable, op: k.op, cause: err}
+		return response{}, &callError{kind: ErrUnavailable, op: k.op, cause: err}
 	}
 	c.calls.Add(1)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return reply{}, &failure{kind: lostKind(k, err), op: k.op, cause: err}
+		return response{}, &callError{kind: noResponseKind(k, err), op: k.op, cause: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes+1))
-	if err == nil && len(body) > maxReplyBytes {
-		err = errors.Errorf("answer exceeds %d bytes", maxReplyBytes)
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
+	if err == nil && len(body) > maxResponseBytes {
+		err = errors.Errorf("response exceeds %d bytes", maxResponseBytes)
 	}
 	if err != nil {
-		return reply{}, &failure{kind: lostKind(k, err), op: k.op, cause: err}
+		return response{}, &callError{kind: noResponseKind(k, err), op: k.op, cause: err}
 	}
-	r := reply{op: k.op, status: resp.StatusCode, header: resp.Header, body: body, writes: k.writes}
+	r := response{op: k.op, status: resp.StatusCode, header: resp.Header, body: body, writes: k.writes}
 	return r, statusError(k, r)
 }
 
-// lostKind tells a write whose answer was lost from one that cannot have been
-// sent, because no connection was made.
-func lostKind(k call, err error) error {
+// noResponseKind returns the kind of a call whose response was not received. The service
+// may have applied a write, unless no connection was established.
+func noResponseKind(k call, err error) error {
 	var op *net.OpError
 	if !k.writes || errors.As(err, &op) && op.Op == "dial" {
 		return ErrUnavailable
@@ -274,30 +274,30 @@
 	return ErrAmbiguous
 }
 
-// statusError maps the service's statuses. 503 is the service's own word that
-// it did nothing; any other 5xx may come from something in front of it, after
-// the write took effect.
-func statusError(k call, r reply) error {
+// statusError maps HTTP statuses to kinds of errors. The service returns 503 only
+// when it has not applied the call. Any other 5xx may come from a proxy, after a
+// write took effect.
+func statusError(k call, r response) error {
 	switch {
 	case r.status < http.StatusMultipleChoices || r.status == http.StatusNotModified:
 		return nil
 	case r.status == http.StatusNotFound:
-		return &failure{kind: ErrNotFound, op: k.op}
+		return &callError{kind: ErrNotFound, op: k.op}
 	case r.status == http.StatusConflict:
-		return &failure{kind: ErrConflict, op: k.op}
+		return &callError{kind: ErrConflict, op: k.op}
 	case r.status == http.StatusRequestEntityTooLarge:
-		return &failure{kind: ErrTooLarge, op: k.op}
+		return &callError{kind: ErrTooLarge, op: k.op}
 	case k.writes && r.status >= http.StatusInternalServerError && r.status != http.StatusServiceUnavailable:
-		return &failure{kind: ErrAmbiguous, op: k.op, cause: errors.Errorf("status %d", r.status)}
+		return &callError{kind: ErrAmbiguous, op: k.op, cause: errors.Errorf("unexpected HTTP status %d", r.status)}
 	default:
-		return &failure{kind: ErrUnavailable, op: k.op, cause: errors.Errorf("status %d", r.status)}
+		return &callError{kind: ErrUnavailable, op: k.op, cause: errors.Errorf("unexpected HTTP status %d", r.status)}
 	}
 }
 
-func (r reply) entry() (Entry, error) {
+func (r response) entry() (Entry, error) {
 	revision, err := strconv.ParseUint(r.header.Get(revisionHeader), 10, 64)
 	if err == nil && revision == 0 {
-		// In a compare-and-swap it would stand for a key that is absent.
+		// A compare-and-swap at revision 0 means that the key is absent.
 		err = errors.New("revision is 0")
 	}
 	if err != nil {
@@ -305,7 +305,7 @@
 		if r.writes {
 			kind = ErrAmbiguous
 		}
-		return Entry{}, &failure{kind: kind, op: r.op, cause: errors.Wrap(err, "revision of the answer")}
+		return Entry{}, &callError{kind: kind, op: r.op, cause: errors.Wrap(err, "revision of the response")}
 	}
 	return Entry{Value: r.body, Revision: revision}, nil
 }
--- a/node/platform/client_test.go
+++ b/node/platform/client_test.go
@@ -13,9 +13,9 @@
 	standin "github.com/carobmill/carobmill/standin/platform"
 )
 
-const plenty = 1000
+const ampleCallsPerSecond = 1000
 
-func start(t *testing.T, callsPerSecond float64) (*standin.Server, *platform.Client) {
+func startService(t *testing.T, callsPerSecond float64) (*standin.Server, *platform.Client) {
 	t.Helper()
 	s := standin.New(standin.Options{VMs: []standin.VM{{Name: "vm1", DataCentre: "a", PeerAddress: "127.0.0.1:1"}}})
 	url, err := s.Start("127.0.0.1:0")
@@ -24,12 +24,12 @@
 	return s, platform.New(url, callsPerSecond, nil)
 }
 
-// A write's fate decides whether a request may be sent, so each failure must
-// be told apart: refused by revision, lost after it took effect, lost before,
-// and never sent because the service is down.
+// The caller of CompareAndSwap must know whether the write was applied: revision
+// conflict, response lost after or before the write took effect, service down, and
+// no connection to the service.
 func TestCompareAndSwapDistinguishesFailureKinds(t *testing.T) {
 	c := qt.New(t)
-	s, kv := start(t, plenty)
+	s, kv := startService(t, ampleCallsPerSecond)
 	ctx := context.Background()
 	_, err := kv.Get(ctx, "a/b c")
 	c.Assert(err, qt.ErrorIs, platform.ErrNotFound)
@@ -51,20 +51,20 @@
 	s.SetDown(true)
 	_, err = kv.CompareAndSwap(ctx, "a/b c", rev+1, []byte("five"))
 	c.Assert(err, qt.ErrorIs, platform.ErrUnavailable)
-	// Without an open connection, nothing can have been sent. On one that the
-	// service has just closed, that would be doubt.
+	// A new transport has no open connection, so that nothing can have been sent. On
+	// a connection that the service has just closed, the error would be ErrAmbiguous.
 	url := s.URL()
 	c.Assert(s.Close(), qt.IsNil)
-	kv = platform.New(url, plenty, &http.Transport{})
+	kv = platform.New(url, ampleCallsPerSecond, &http.Transport{})
 	_, err = kv.CompareAndSwap(ctx, "a/b c", rev+1, []byte("six"))
 	c.Assert(err, qt.ErrorIs, platform.ErrUnavailable)
 }
 
-// The service takes no value above a megabyte. The client refuses before the
-// write, and the stand-in refuses one that comes all the same.
+// The client rejects a value above the service's size limit without a call, and
+// accepts a value of exactly that size.
 func TestValueAboveSizeLimitIsRejected(t *testing.T) {
 	c := qt.New(t)
-	s, kv := start(t, plenty)
+	s, kv := startService(t, ampleCallsPerSecond)
 	ctx := context.Background()
 	_, err := kv.CompareAndSwap(ctx, "k", 0, make([]byte, platform.MaxValueBytes+1))
 	c.Assert(err, qt.ErrorIs, platform.ErrTooLarge)
@@ -76,11 +76,11 @@
 	c.Assert(len(e.Value), qt.Equals, platform.MaxValueBytes)
 }
 
-// A node that loses its head must not take the service's rates from the rest
-// of the fleet: calls above the budget fail here and never reach the service.
+// A node that makes too many calls must not consume the service's rate limit for
+// the rest of the fleet: calls above the budget fail in the client.
 func TestCallsAboveBudgetAreNotSent(t *testing.T) {
 	c := qt.New(t)
-	s, kv := start(t, 0.001)
+	s, kv := startService(t, 0.001)
 	_, err := kv.Get(context.Background(), "k")
 	c.Assert(err, qt.ErrorIs, platform.ErrNotFound)
 	_, err = kv.Get(context.Background(), "k")
@@ -89,11 +89,11 @@
 	c.Assert(kv.Calls(), qt.Equals, uint64(1))
 }
 
-// A flood of keyed requests uses up its share of the budget. The watch of the
-// configuration must still get through, or a change would not come into force.
+// When keyed requests exhaust their share of the budget, other calls must still be
+// sent. Otherwise the watch of the configuration would miss changes.
 func TestBudgetShareLeavesCallsForOtherUses(t *testing.T) {
 	c := qt.New(t)
-	_, kv := start(t, 4)
+	_, kv := startService(t, 4)
 	claims := kv.WithBudgetShare(0.5)
 	ctx := context.Background()
 	for range 2 {
@@ -107,11 +107,11 @@
 	c.Assert(kv.Calls(), qt.Equals, uint64(3))
 }
 
-// Reads from the past must not look like news, and a watch is one call however
-// long it waits.
+// A stale read must not end a watch, and a watch counts as one call however long
+// it waits.
 func TestWatchWaitsForHigherRevision(t *testing.T) {
 	c := qt.New(t)
-	s, kv := start(t, plenty)
+	s, kv := startService(t, ampleCallsPerSecond)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	rev, err := kv.CompareAndSwap(ctx, "k", 0, []byte("one"))
@@ -138,11 +138,11 @@
 	c.Assert(s.Calls().Watches, qt.Equals, uint64(1))
 }
 
-// A lease lapses while its holder is paused: the key is gone, and keeping the
-// lease alive or writing under it says so.
-func TestExpiredLeaseDeletesItsKeys(t *testing.T) {
+// A revoked lease deletes its keys. KeepAlive on it, and a write under an expired
+// lease, return ErrNotFound.
+func TestRevokedOrExpiredLeaseIsNotFound(t *testing.T) {
 	c := qt.New(t)
-	s, kv := start(t, plenty)
+	s, kv := startService(t, ampleCallsPerSecond)
 	ctx := context.Background()
 	lease, err := kv.Grant(ctx, time.Hour)
 	c.Assert(err, qt.IsNil)
@@ -162,7 +162,7 @@
 
 func TestVMListMayBeStale(t *testing.T) {
 	c := qt.New(t)
-	s, client := start(t, plenty)
+	s, client := startService(t, ampleCallsPerSecond)
 	s.SetVMLag(time.Hour)
 	s.SetVMs([]standin.VM{{Name: "vm2", Leaving: true}})
 	vms, err := client.VMs(context.Background())
--- a/node/platform/fuzz_test.go
+++ b/node/platform/fuzz_test.go
@@ -14,25 +14,24 @@
 	"github.com/carobmill/carobmill/node/platform"
 )
 
-// fuzzCalls lets one input make each call once and a watch ask once a second.
-const fuzzCalls = 20
+// fuzzCallsPerSecond allows each call once, plus one call per second of a watch.
+const fuzzCallsPerSecond = 20
 
-// canned answers each request with the same bytes, as a service or something in
-// front of it might.
-type canned []byte
+// cannedTransport is a transport that responds to each request with the same bytes.
+type cannedTransport []byte
 
-func (c canned) RoundTrip(req *http.Request) (*http.Response, error) {
+func (c cannedTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	return http.ReadResponse(bufio.NewReader(bytes.NewReader(c)), req)
 }
 
-// FuzzAnswer feeds any bytes as the answer to each call of the platform's client.
-// An answer is either taken in full or becomes an error of one of the stated kinds;
-// a write whose answer does not say what it did is in doubt; revision 0 and lease 0,
-// which stand for "none", never come out of a success.
+// FuzzAnswer uses arbitrary bytes as the response to each call of the client. A
+// response is either accepted in full or yields an error of a declared kind. A write
+// with an unreadable response is ErrAmbiguous. A successful call never returns
+// revision 0 or lease 0, which mean "none".
 //
 // Long run: go test ./node/platform -run NONE -fuzz FuzzAnswer -fuzztime 10m
 func FuzzAnswer(f *testing.F) {
-	for _, answer := range []string{
+	for _, response := range []string{
 		"HTTP/1.1 200 OK\r\nPlatform-Revision: 7\r\nContent-Length: 5\r\n\r\nvalue",
 		"HTTP/1.1 200 OK\r\nPlatform-Revision: 0\r\nContent-Length: 8\r\n\r\n{\"id\":0}",
 		"HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"id\":9}",
@@ -42,61 +41,60 @@
 		"HTTP/1.1 503 Busy\r\n\r\n", "HTTP/1.1 502 Bad\r\n\r\n", "HTTP/1.1 302 Found\r\nLocation: /v1/kv\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nvalue\r\n", "", "\x00",
 	} {
-		f.Add([]byte(answer))
+		f.Add([]byte(response))
 	}
-	f.Fuzz(func(t *testing.T, answer []byte) {
-		synctest.Test(t, func(t *testing.T) { fuzzAnswer(t, answer) })
+	f.Fuzz(func(t *testing.T, response []byte) {
+		synctest.Test(t, func(t *testing.T) { fuzzCall(t, response) })
 	})
 }
 
-func fuzzAnswer(t *testing.T, answer []byte) {
-	client := platform.New("http://platform", fuzzCalls, canned(answer))
+func fuzzCall(t *testing.T, response []byte) {
+	client := platform.New("http://platform", fuzzCallsPerSecond, cannedTransport(response))
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	e, err := client.Get(ctx, "k")
-	checkAnswer(t, "get", err, e.Revision == 0, platform.ErrUnavailable)
+	checkResult(t, "get", err, e.Revision == 0, platform.ErrUnavailable)
 	revision, err := client.CompareAndSwap(ctx, "k", 1, nil)
-	checkAnswer(t, "compare and swap", err, revision == 0, platform.ErrAmbiguous)
+	checkResult(t, "compare and swap", err, revision == 0, platform.ErrAmbiguous)
 	lease, err := client.Grant(ctx, time.Second)
-	checkAnswer(t, "grant", err, lease == 0, platform.ErrAmbiguous)
-	checkAnswer(t, "keep alive", client.KeepAlive(ctx, 1), false, platform.ErrAmbiguous)
+	checkResult(t, "grant", err, lease == 0, platform.ErrAmbiguous)
+	checkResult(t, "keep alive", client.KeepAlive(ctx, 1), false, platform.ErrAmbiguous)
 	_, err = client.VMs(ctx)
-	checkAnswer(t, "list", err, false, platform.ErrUnavailable)
-	// Last, since it may go on until the context ends.
+	checkResult(t, "list", err, false, platform.ErrUnavailable)
+	// Watch is last, because it may run until the context ends.
 	e, err = client.Watch(ctx, "k", 1)
-	checkAnswer(t, "watch", err, e.Revision == 0, platform.ErrUnavailable)
+	checkResult(t, "watch", err, e.Revision == 0, platform.ErrUnavailable)
 	if errors.Is(err, platform.ErrBudget) {
-		t.Fatalf("the watch has used up the budget after %d calls", client.Calls())
+		t.Fatalf("the watch exhausted the call budget after %d calls", client.Calls())
 	}
 }
 
-// checkAnswer checks the outcome of one call; lost is the kind of an answer that
-// cannot be read.
-func checkAnswer(t *testing.T, op string, err error, empty bool, lost error) {
+// checkResult checks the result of one call; lost is the kind of error expected for
+// an unreadable response.
+func checkResult(t *testing.T, op string, err error, empty bool, lost error) {
 	kinds := []error{
 		lost, platform.ErrNotFound, platform.ErrConflict, platform.ErrUnavailable, platform.ErrTooLarge, platform.ErrBudget,
 	}
-	known := err == nil
+	declared := err == nil
 	for _, kind := range kinds {
-		known = known || errors.Is(err, kind)
+		declared = declared || errors.Is(err, kind)
 	}
-	if !known {
-		t.Fatalf("%s: error of no kind: %v", op, err)
+	if !declared {
+		t.Fatalf("%s: error of no declared kind: %v", op, err)
 	}
 	if err == nil && empty {
-		t.Fatalf("%s: nothing came out of a success", op)
+		t.Fatalf("%s: successful call returned revision or lease 0", op)
 	}
 }
 
-// A value, or a list of VMs, that is longer than the platform can hold must not be
-// cut and taken for the whole: a configuration that is cut between two replicas
-// still parses.
+// A response above the size limit must not be truncated and accepted: a
+// configuration truncated between two replicas still parses.
 func TestOversizedResponseIsRejected(t *testing.T) {
-	answer := bytes.NewBufferString("HTTP/1.1 200 OK\r\nPlatform-Revision: 7\r\n\r\n")
-	answer.Write(make([]byte, 2*platform.MaxValueBytes))
-	client := platform.New("http://platform", plenty, canned(answer.Bytes()))
+	response := bytes.NewBufferString("HTTP/1.1 200 OK\r\nPlatform-Revision: 7\r\n\r\n")
+	response.Write(make([]byte, 2*platform.MaxValueBytes))
+	client := platform.New("http://platform", ampleCallsPerSecond, cannedTransport(response.Bytes()))
 	if e, err := client.Get(t.Context(), "k"); !errors.Is(err, platform.ErrUnavailable) {
-		t.Fatalf("%d bytes of the value, %v", len(e.Value), err)
+		t.Fatalf("got a value of %d bytes and error %v, want ErrUnavailable", len(e.Value), err)
 	}
 	if _, err := client.CompareAndSwap(t.Context(), "k", 1, nil); !errors.Is(err, platform.ErrAmbiguous) {
 		t.Fatal(err)
--- a/node/platform/platform.go
+++ b/node/platform/platform.go
@@ -1,10 +1,9 @@
 // Package platform is the client of the platform's key-value service and VM
-// list. Every call is counted and comes out of one budget, because the service
-// counts calls and its rates grow more slowly than the fleet.
+// list. All calls of a node count against one rate limit, because the service
+// limits calls and its limits grow more slowly than the fleet.
 //
-// Reads may be answered from the past: a caller takes an Entry as what the key
-// held at some moment, and relies on CompareAndSwap for anything that must be
-// true now.
+// Reads may be stale: an Entry is the value of the key at some earlier time. Use
+// CompareAndSwap for decisions that need the current value.
 package platform
 
 import (
@@ -14,37 +13,37 @@
 	"github.com/pkg/errors"
 )
 
-// MaxValueBytes is the largest value that the service holds.
+// MaxValueBytes is the maximum size of a value.
 const MaxValueBytes = 1 << 20
 
-// Kinds of failure, to be tested with errors.Is.
+// Kinds of errors, for use with errors.Is.
 var (
 	// ErrNotFound: the key or lease does not exist.
 	ErrNotFound = errors.New("not found")
 	// ErrConflict: the key is not at the stated revision; nothing was written.
 	ErrConflict = errors.New("revision conflict")
-	// ErrAmbiguous: the answer to a write was lost; it may have taken effect or
-	// may still do so.
-	ErrAmbiguous = errors.New("answer to a write was lost")
-	// ErrUnavailable: the service did not answer; nothing was written.
+	// ErrAmbiguous: the response to a write was lost. The write may have taken
+	// effect or may still do so.
+	ErrAmbiguous = errors.New("response to a write was lost")
+	// ErrUnavailable: the service returned no usable response; nothing was written.
 	ErrUnavailable = errors.New("platform unavailable")
-	// ErrBudget: this node has used up its calls; nothing was sent.
-	ErrBudget = errors.New("budget of platform calls is used up")
-	// ErrTooLarge: the value exceeds MaxValueBytes; nothing was sent.
-	ErrTooLarge = errors.New("value exceeds the platform's limit")
+	// ErrBudget: this node's call budget is exhausted; nothing was sent.
+	ErrBudget = errors.New("platform call budget exhausted")
+	// ErrTooLarge: the value exceeds the service's size limit; nothing was written.
+	ErrTooLarge = errors.New("value exceeds the platform's size limit")
 )
 
-// Entry is a value and the revision at which it was written.
+// Entry is the value of a key and the revision at which it was written.
 type Entry struct {
 	Value []byte
-	// Revision is above 0 and rises with each write to the key.
+	// Revision is greater than 0 and increases with each write to the key.
 	Revision uint64
 }
 
-// LeaseID names a lease; 0 is none.
+// LeaseID identifies a lease; 0 means no lease.
 type LeaseID uint64
 
-// VM is one line of the platform's VM list, which lags behind the truth.
+// VM is an entry of the platform's VM list, which may be stale.
 type VM struct {
 	Name        string
 	DataCentre  string
@@ -60,21 +59,21 @@
 	// returns the new revision. Fails with ErrConflict, ErrAmbiguous,
 	// ErrUnavailable, ErrBudget or ErrTooLarge.
 	CompareAndSwap(ctx context.Context, key string, revision uint64, value []byte) (uint64, error)
-	// Watch waits until the key's revision is above after, and returns the entry.
-	// A service that answers from the past may return a lower revision at once;
-	// the caller must then wait a little before it asks again.
+	// Watch waits until the key's revision is greater than after, and returns the
+	// entry. A service that serves stale reads may return a lower revision at once;
+	// the caller must then pause before the next Watch.
 	Watch(ctx context.Context, key string, after uint64) (Entry, error)
 }
 
-// Leases are grants that lapse unless they are kept alive; keys attached to a
-// lease vanish with it.
+// Leases is the lease service. A lease expires unless it is kept alive; the keys
+// attached to a lease are deleted when it expires or is revoked.
 type Leases interface {
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// KeepAlive restarts the lease's time; ErrNotFound when it has lapsed.
+	// KeepAlive restarts the lease's TTL; ErrNotFound if the lease has expired.
 	KeepAlive(ctx context.Context, lease LeaseID) error
 	Revoke(ctx context.Context, lease LeaseID) error
 	// CompareAndSwapLeased is KV.CompareAndSwap that also attaches the key to the
-	// lease; ErrNotFound when the lease has lapsed.
+	// lease; ErrNotFound if the lease has expired.
 	CompareAndSwapLeased(ctx context.Context, key string, revision uint64, value []byte, lease LeaseID) (uint64, error)
 }
 
@@ -83,26 +82,26 @@
 	VMs(ctx context.Context) ([]VM, error)
 }
 
-// failure is a typed error with its cause.
-type failure struct {
+// callError is the error of a call: its kind, and its cause if there is one.
+type callError struct {
 	kind  error
 	op    string
 	cause error
 }
 
-func (f *failure) Error() string {
-	text := f.op + ": " + f.kind.Error()
-	if f.cause != nil {
-		text += ": " + f.cause.Error()
+func (e *callError) Error() string {
+	text := e.op + ": " + e.kind.Error()
+	if e.cause != nil {
+		text += ": " + e.cause.Error()
 	}
 	return text
 }
 
-// Unwrap lets errors.Is find both the kind and the cause, such as
+// Unwrap lets errors.Is match both the kind and the cause, such as
 // context.DeadlineExceeded.
-func (f *failure) Unwrap() []error {
-	if f.cause == nil {
-		return []error{f.kind}
+func (e *callError) Unwrap() []error {
+	if e.cause == nil {
+		return []error{e.kind}
 	}
-	return []error{f.kind, f.cause}
+	return []error{e.kind, e.cause}
 }
