--- a/node/schema/decode.go
+++ b/node/schema/decode.go
@@ -17,8 +17,8 @@
 	"github.com/carobmill/carobmill/policy/rule"
 )
 
-// MaxFileBytes bounds what is read from one file. A sheet of 3,500 replicas
-// takes less than a tenth of it.
+// MaxFileBytes is the maximum size of a file. A sheet of 3,500 replicas needs less
+// than a tenth of it.
 const MaxFileBytes = 8 << 20
 
 const (
@@ -26,19 +26,20 @@
 	documentEnd   = "..."
 )
 
-// maxQuoted bounds how much of a file's text a fault repeats.
-const maxQuoted = 64
+// maxQuotedBytes bounds the text of the file that is quoted in a fault.
+const maxQuotedBytes = 64
 
 var plainKey = regexp.MustCompile(`^[A-Za-z0-9_.-]{1,64}$`)
 
-// Paths of faults that concern no single field.
+// Paths of faults that do not belong to a single field.
 const (
 	pathFile   = "file"
 	pathSyntax = "syntax"
 	pathEnd    = "end of file"
 )
 
-// Read reads a file of at most MaxFileBytes.
+// Read reads at most MaxFileBytes+1 bytes of a file, so that Decode can report a
+// file that is too large.
 func Read(file string) ([]byte, []Fault) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -52,19 +53,19 @@
 	return data, nil
 }
 
-// Decode fills m from YAML. Names of fields are those of the schema; values of
-// enums are written in lower case without the enum's prefix. The message holds
-// whatever could be read, so that the caller can check the rest of it too.
+// Decode decodes YAML into m. Field names are those of the schema; enum values are
+// in lower case without the enum's prefix. When Decode reports faults, m contains
+// every field that could be decoded, so that the caller can check those too.
 func Decode(file string, data []byte, m proto.Message) []Fault {
 	d := &decoder{file: file}
 	if len(data) > MaxFileBytes {
 		d.add(pathFile, "is larger than 8 MiB", "at most 8 MiB are read")
 		return d.faults
 	}
-	d.cutOff(data)
+	d.checkTruncated(data)
 	root := d.parse(data)
 	if root != nil {
-		d.message("", root, m.ProtoReflect())
+		d.decodeMessage("", root, m.ProtoReflect())
 	}
 	return d.faults
 }
@@ -78,24 +79,24 @@
 	d.faults = append(d.faults, Fault{File: d.file, Path: path, Problem: problem, Allowed: allowed})
 }
 
-// cutOff detects a file whose end is missing. YAML that is cut off at the end
-// of a line is still valid: a half-written export would silently take replicas
-// out of service. A file that opens with "---" must therefore close with "...",
-// and every file must end with a whole line.
-func (d *decoder) cutOff(data []byte) {
+// checkTruncated reports a file whose end is missing. YAML truncated at the end of a
+// line is still valid, so that a partly written export would silently take replicas
+// out of service. A file that starts with "---" must therefore end with "...", and
+// every file must end with a newline.
+func (d *decoder) checkTruncated(data []byte) {
 	text := strings.TrimRight(string(data), " \t\r\n")
 	if text == "" {
 		return
 	}
 	if !bytes.HasSuffix(data, []byte("\n")) {
-		d.add(pathEnd, "the last line is not complete: the file was cut off", "a file ends with a newline")
+		d.add(pathEnd, "the last line has no newline: the file was cut off", "a file must end with a newline")
 	}
-	if opened(text) && text[strings.LastIndexByte(text, '\n')+1:] != documentEnd {
-		d.add(pathEnd, `the file opens with "---" but does not close with "...": it was cut off`, `a file that opens with "---" ends with the line "..."`)
+	if startsWithMarker(text) && text[strings.LastIndexByte(text, '\n')+1:] != documentEnd {
+		d.add(pathEnd, `the file starts with "---" but does not end with "...": it was cut off`, `a file that starts with "---" must end with the line "..."`)
 	}
 }
 
-func opened(text string) bool {
+func startsWithMarker(text string) bool {
 	for line := range strings.Lines(text) {
 		line = strings.TrimSpace(line)
 		if line == "" || strings.HasPrefix(line, "#") {
@@ -110,30 +111,30 @@
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	var doc yaml.Node
 	if err := dec.Decode(&doc); err != nil {
-		d.syntax(err)
+		d.addSyntaxFault(err)
 		return nil
 	}
 	var second yaml.Node
 	switch err := dec.Decode(&second); {
 	case err == nil:
-		d.add(pathFile, "holds a second document", "one YAML document a file")
+		d.add(pathFile, "contains a second document", "exactly one YAML document is allowed")
 	case !errors.Is(err, io.EOF):
-		d.syntax(err)
+		d.addSyntaxFault(err)
 	}
 	return doc.Content[0]
 }
 
-func (d *decoder) syntax(err error) {
+func (d *decoder) addSyntaxFault(err error) {
 	if errors.Is(err, io.EOF) {
-		d.add(pathFile, "is empty", "one YAML document")
+		d.add(pathFile, "is empty", "exactly one YAML document is required")
 		return
 	}
 	d.add(pathSyntax, strings.TrimPrefix(err.Error(), "yaml: "), "valid YAML")
 }
 
-func (d *decoder) message(path string, n *yaml.Node, m protoreflect.Message) {
+func (d *decoder) decodeMessage(path string, n *yaml.Node, m protoreflect.Message) {
 	if n.Kind != yaml.MappingNode {
-		d.wrongType(pathOrRoot(path), n, "a mapping of fields")
+		d.addWrongType(pathOrRoot(path), n, "a mapping of fields")
 		return
 	}
 	fields := m.Descriptor().Fields()
@@ -144,49 +145,49 @@
 		fd := fields.ByName(protoreflect.Name(key.Value))
 		switch {
 		case key.Kind != yaml.ScalarNode:
-			d.wrongType(pathOrRoot(path), key, "names of fields as keys")
+			d.addWrongType(pathOrRoot(path), key, "field names as keys")
 		case fd == nil:
-			d.add(at, "unknown field", "allowed are "+names(fields))
+			d.add(at, "unknown field", "allowed are "+fieldNames(fields))
 		case seen[key.Value]:
-			d.add(at, "is given twice", "a field is given once")
+			d.add(at, "is given twice", "a field may be given only once")
 		default:
-			d.field(at, value, m, fd)
+			d.decodeField(at, value, m, fd)
 		}
 		seen[key.Value] = true
 	}
 }
 
-func (d *decoder) field(path string, n *yaml.Node, m protoreflect.Message, fd protoreflect.FieldDescriptor) {
+func (d *decoder) decodeField(path string, n *yaml.Node, m protoreflect.Message, fd protoreflect.FieldDescriptor) {
 	switch {
 	case fd.IsList():
-		d.list(path, n, m.Mutable(fd).List(), fd)
+		d.decodeList(path, n, m.Mutable(fd).List(), fd)
 	case fd.Kind() == protoreflect.MessageKind:
-		d.message(path, n, m.Mutable(fd).Message())
+		d.decodeMessage(path, n, m.Mutable(fd).Message())
 	default:
-		if v, ok := d.scalar(path, n, fd); ok {
+		if v, ok := d.decodeScalar(path, n, fd); ok {
 			m.Set(fd, v)
 		}
 	}
 }
 
-func (d *decoder) list(path string, n *yaml.Node, list protoreflect.List, fd protoreflect.FieldDescriptor) {
+func (d *decoder) decodeList(path string, n *yaml.Node, list protoreflect.List, fd protoreflect.FieldDescriptor) {
 	if n.Kind != yaml.SequenceNode {
-		d.wrongType(path, n, "a list")
+		d.addWrongType(path, n, "a list")
 		return
 	}
 	for i, item := range n.Content {
 		at := rule.Index(path, i)
 		if fd.Kind() == protoreflect.MessageKind {
-			d.message(at, item, list.AppendMutable().Message())
+			d.decodeMessage(at, item, list.AppendMutable().Message())
 			continue
 		}
-		if v, ok := d.scalar(at, item, fd); ok {
+		if v, ok := d.decodeScalar(at, item, fd); ok {
 			list.Append(v)
 		}
 	}
 }
 
-func names(fields protoreflect.FieldDescriptors) string {
+func fieldNames(fields protoreflect.FieldDescriptors) string {
 	all := make([]string, 0, fields.Len())
 	for i := range fields.Len() {
 		all = append(all, string(fields.Get(i).Name()))
@@ -194,12 +195,13 @@
 	return strings.Join(all, ", ")
 }
 
-// printable gives a key or value of the file in one short line.
+// printable returns a key or value of the file for use in a fault: unchanged if it
+// is a short plain word, else quoted and truncated to maxQuotedBytes.
 func printable(text string) string {
 	if plainKey.MatchString(text) {
 		return text
 	}
-	return strconv.Quote(text[:min(len(text), maxQuoted)])
+	return strconv.Quote(text[:min(len(text), maxQuotedBytes)])
 }
 
 func pathOrRoot(path string) string {
--- a/node/schema/encode.go
+++ b/node/schema/encode.go
@@ -12,15 +12,15 @@
 	"github.com/carobmill/carobmill/policy/rule"
 )
 
-const indent = 2
+const indentSpaces = 2
 
-// Encode writes a message as Decode reads it, with the marks that let a cut-off
-// file be recognised. Fields that are not set are left out.
+// Encode returns a message as YAML that Decode accepts, between the document markers
+// that let Decode detect a truncated file. Unset fields are omitted.
 func Encode(m proto.Message) ([]byte, error) {
 	var out bytes.Buffer
 	out.WriteString(documentStart + "\n")
 	enc := yaml.NewEncoder(&out)
-	enc.SetIndent(indent)
+	enc.SetIndent(indentSpaces)
 	if err := enc.Encode(encodeMessage(m.ProtoReflect())); err != nil {
 		return nil, errors.Wrap(err, "encode YAML")
 	}
@@ -34,16 +34,16 @@
 func encodeMessage(m protoreflect.Message) *yaml.Node {
 	n := &yaml.Node{Kind: yaml.MappingNode}
 	fields := m.Descriptor().Fields()
-	leaf := true
+	scalarsOnly := true
 	for i := range fields.Len() {
 		fd := fields.Get(i)
 		if !m.Has(fd) {
 			continue
 		}
 		n.Content = append(n.Content, scalarNode(tagString, string(fd.Name())), encodeField(fd, m.Get(fd)))
-		leaf = leaf && !fd.IsList() && fd.Kind() != protoreflect.MessageKind
+		scalarsOnly = scalarsOnly && !fd.IsList() && fd.Kind() != protoreflect.MessageKind
 	}
-	if leaf {
+	if scalarsOnly {
 		n.Style = yaml.FlowStyle
 	}
 	return n
--- a/node/schema/fault.go
+++ b/node/schema/fault.go
@@ -1,6 +1,6 @@
-// Package schema reads YAML into messages of the schema and reports every
-// fault of a file at once: unknown and repeated fields, wrong types, numbers
-// out of range, and files that were cut off.
+// Package schema decodes YAML into protobuf messages and reports all faults of a
+// file together: unknown and repeated fields, wrong types, numbers out of range, and
+// truncated files.
 package schema
 
 import (
@@ -10,38 +10,40 @@
 	"github.com/carobmill/carobmill/policy/rule"
 )
 
-// Fault is one thing wrong in a file.
+// Fault is one error in a file.
 type Fault struct {
 	File string
-	// Path of the field, or a line where no field can be named.
-	Path    string
+	// Path of the field, or "file", "syntax" or "end of file" for a fault that does
+	// not belong to a single field.
+	Path string
+	// Problem describes the error, and Allowed what is valid instead.
 	Problem string
 	Allowed string
 }
 
-// String gives `file: field.path: what is wrong, what is allowed`.
+// String returns `file: path: problem, allowed`.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s: %s: %s, %s", f.File, f.Path, f.Problem, f.Allowed)
 }
 
-// Merge appends the faults that a check found in the decoded message. A fault
-// at a path that the reader already reported is left out: it only repeats that
-// the field, which could not be read, is absent.
-func Merge(file string, read []Fault, checked []rule.Fault) []Fault {
-	known := make(map[string]bool, len(read))
-	for _, f := range read {
-		known[f.Path] = true
+// Merge appends the faults that a check of the decoded message found to those of
+// Decode. A checked fault at a path that Decode reported is omitted: it would only
+// report the field that could not be decoded as missing.
+func Merge(file string, decoded []Fault, checked []rule.Fault) []Fault {
+	reported := make(map[string]bool, len(decoded))
+	for _, f := range decoded {
+		reported[f.Path] = true
 	}
-	merged := read
+	merged := decoded
 	for _, f := range checked {
-		if !known[f.Path] {
+		if !reported[f.Path] {
 			merged = append(merged, Fault{File: file, Path: f.Path, Problem: f.Problem, Allowed: f.Allowed})
 		}
 	}
 	return merged
 }
 
-// FormatFaults gives the faults, each on a line of its own.
+// FormatFaults returns the faults, one per line.
 func FormatFaults(faults []Fault) string {
 	var b strings.Builder
 	for _, f := range faults {
@@ -51,8 +53,8 @@
 	return b.String()
 }
 
-// Unreadable reports whether the file as a whole could not be read, so that
-// checking the message would only report every field as missing.
+// Unreadable reports whether a fault concerns the file as a whole. A check of the
+// decoded message would then only report every field as missing.
 func Unreadable(faults []Fault) bool {
 	for _, f := range faults {
 		if f.Path == pathFile || f.Path == pathSyntax {
--- a/node/schema/fuzz_test.go
+++ b/node/schema/fuzz_test.go
@@ -19,7 +19,7 @@
 //	go test ./node/schema -run NONE -fuzz FuzzSheet -fuzztime 10m -fuzzminimizetime 1s
 //	go test ./node/schema -run NONE -fuzz FuzzSettings -fuzztime 10m -fuzzminimizetime 1s
 
-// small seeds keep the fuzzer fast; it minimises every input that it finds.
+// Small seeds keep the fuzzer fast, because it minimises every input that it finds.
 const (
 	smallSheet = `---
 fleet: f
@@ -34,7 +34,7 @@
 `
 )
 
-func seed(f *testing.F, valid string) {
+func addSeeds(f *testing.F, valid string) {
 	f.Add([]byte(valid))
 	for _, text := range []string{
 		"", "---\n", "---\n...\n", "fleet: [1, {a: b}]\n", "fleet: &a x\nservices: *a\n", "? [a]\n: b\n",
@@ -46,11 +46,10 @@
 	}
 }
 
-// FuzzSheet feeds any bytes to the reader of sheets. A sheet that it passes must
-// compile and index, change nothing against itself, and survive being written
-// and read again.
+// FuzzSheet parses arbitrary bytes as a sheet. A sheet without faults must compile
+// and index, show no difference from itself, and be unchanged after Encode and Parse.
 func FuzzSheet(f *testing.F) {
-	seed(f, smallSheet)
+	addSeeds(f, smallSheet)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, faults := sheetfile.Parse("s.yaml", data)
 		if len(faults) > 0 {
@@ -65,15 +64,16 @@
 		c.Assert(sheet.Compare(s, s).Empty(), qt.IsTrue)
 		text, err := schema.Encode(s)
 		c.Assert(err, qt.IsNil)
-		again, faults := sheetfile.Parse("s.yaml", text)
+		reread, faults := sheetfile.Parse("s.yaml", text)
 		c.Assert(faults, qt.HasLen, 0, qt.Commentf("%s", text))
-		c.Assert(proto.Equal(s, again), qt.IsTrue, qt.Commentf("%s", text))
+		c.Assert(proto.Equal(s, reread), qt.IsTrue, qt.Commentf("%s", text))
 	})
 }
 
-// FuzzSettings feeds any bytes to the reader of settings.
+// FuzzSettings parses arbitrary bytes as settings. Settings without faults must be
+// unchanged after Encode and Decode.
 func FuzzSettings(f *testing.F) {
-	seed(f, smallSettings)
+	addSeeds(f, smallSettings)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, faults := settings.Parse("n.yaml", data)
 		if len(faults) > 0 {
@@ -83,18 +83,18 @@
 		c := qt.New(t)
 		text, err := schema.Encode(s)
 		c.Assert(err, qt.IsNil)
-		again := &pb.Settings{}
-		c.Assert(schema.Decode("n.yaml", text, again), qt.HasLen, 0, qt.Commentf("%s", text))
-		c.Assert(proto.Equal(s, again), qt.IsTrue, qt.Commentf("%s", text))
+		reread := &pb.Settings{}
+		c.Assert(schema.Decode("n.yaml", text, reread), qt.HasLen, 0, qt.Commentf("%s", text))
+		c.Assert(proto.Equal(s, reread), qt.IsTrue, qt.Commentf("%s", text))
 	})
 }
 
-// checkFaults holds that each fault says where, what and what instead, so that
-// the operator can mend it.
+// checkFaults fails unless every fault names the file, the path, the problem and what
+// is allowed, which the operator needs to correct the file.
 func checkFaults(t *testing.T, faults []schema.Fault) {
 	for _, f := range faults {
 		if f.File == "" || f.Path == "" || f.Problem == "" || f.Allowed == "" {
-			t.Fatalf("fault %+v is not complete", f)
+			t.Fatalf("fault %+v has an empty field", f)
 		}
 	}
 }
--- a/node/schema/scalar.go
+++ b/node/schema/scalar.go
@@ -11,7 +11,7 @@
 	"github.com/carobmill/carobmill/policy/rule"
 )
 
-// Short tags of YAML's core schema.
+// Short tags of the YAML core schema.
 const (
 	tagString = "!!str"
 	tagInt    = "!!int"
@@ -20,37 +20,37 @@
 	tagNull   = "!!null"
 )
 
-func (d *decoder) scalar(path string, n *yaml.Node, fd protoreflect.FieldDescriptor) (protoreflect.Value, bool) {
-	var none protoreflect.Value
+func (d *decoder) decodeScalar(path string, n *yaml.Node, fd protoreflect.FieldDescriptor) (protoreflect.Value, bool) {
+	var zero protoreflect.Value
 	switch fd.Kind() {
 	case protoreflect.StringKind:
-		if !d.is(path, n, "text (numbers and true or false need quotes)", tagString) {
-			return none, false
+		if !d.expectScalar(path, n, "text (quote numbers, true and false)", tagString) {
+			return zero, false
 		}
 		return protoreflect.ValueOfString(n.Value), true
 	case protoreflect.BoolKind:
-		if !d.is(path, n, "true or false", tagBool) {
-			return none, false
+		if !d.expectScalar(path, n, "true or false", tagBool) {
+			return zero, false
 		}
 		return protoreflect.ValueOfBool(strings.EqualFold(n.Value, "true")), true
 	case protoreflect.EnumKind:
-		return d.enum(path, n, fd.Enum())
+		return d.decodeEnum(path, n, fd.Enum())
 	case protoreflect.Uint32Kind:
-		v, ok := d.unsigned(path, n, fd, math.MaxUint32)
+		v, ok := d.decodeUnsigned(path, n, fd, math.MaxUint32)
 		return protoreflect.ValueOfUint32(uint32(v)), ok
 	case protoreflect.Uint64Kind:
-		v, ok := d.unsigned(path, n, fd, math.MaxUint64)
+		v, ok := d.decodeUnsigned(path, n, fd, math.MaxUint64)
 		return protoreflect.ValueOfUint64(v), ok
 	case protoreflect.DoubleKind:
-		return d.double(path, n, fd)
+		return d.decodeDouble(path, n, fd)
 	default:
-		d.add(path, "cannot be written in YAML", "leave the field out")
-		return none, false
+		d.add(path, "has a type that YAML files do not support", "omit the field")
+		return zero, false
 	}
 }
 
-func (d *decoder) unsigned(path string, n *yaml.Node, fd protoreflect.FieldDescriptor, limit uint64) (uint64, bool) {
-	if !d.is(path, n, "a whole number", tagInt) {
+func (d *decoder) decodeUnsigned(path string, n *yaml.Node, fd protoreflect.FieldDescriptor, limit uint64) (uint64, bool) {
+	if !d.expectScalar(path, n, "a whole number", tagInt) {
 		return 0, false
 	}
 	v, err := strconv.ParseUint(strings.ReplaceAll(n.Value, "_", ""), 0, 64)
@@ -61,9 +61,9 @@
 	return v, d.inRange(path, n, fd, float64(v))
 }
 
-func (d *decoder) double(path string, n *yaml.Node, fd protoreflect.FieldDescriptor) (protoreflect.Value, bool) {
+func (d *decoder) decodeDouble(path string, n *yaml.Node, fd protoreflect.FieldDescriptor) (protoreflect.Value, bool) {
 	var v float64
-	if !d.is(path, n, "a number", tagInt, tagFloat) {
+	if !d.expectScalar(path, n, "a number", tagInt, tagFloat) {
 		return protoreflect.Value{}, false
 	}
 	if err := n.Decode(&v); err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
@@ -82,7 +82,7 @@
 	return false
 }
 
-func (d *decoder) enum(path string, n *yaml.Node, ed protoreflect.EnumDescriptor) (protoreflect.Value, bool) {
+func (d *decoder) decodeEnum(path string, n *yaml.Node, ed protoreflect.EnumDescriptor) (protoreflect.Value, bool) {
 	allowed := make([]string, 0, ed.Values().Len())
 	for i := range ed.Values().Len() {
 		value := ed.Values().Get(i)
@@ -96,15 +96,15 @@
 		allowed = append(allowed, short)
 	}
 	if n.Kind != yaml.ScalarNode {
-		d.wrongType(path, n, "one of "+strings.Join(allowed, ", "))
+		d.addWrongType(path, n, "one of "+strings.Join(allowed, ", "))
 		return protoreflect.Value{}, false
 	}
-	d.add(path, "is "+strconv.Quote(n.Value[:min(len(n.Value), maxQuoted)]), "allowed are "+strings.Join(allowed, ", "))
+	d.add(path, "is "+strconv.Quote(n.Value[:min(len(n.Value), maxQuotedBytes)]), "allowed are "+strings.Join(allowed, ", "))
 	return protoreflect.Value{}, false
 }
 
-// is reports a fault unless n is a scalar of one of the types.
-func (d *decoder) is(path string, n *yaml.Node, want string, tags ...string) bool {
+// expectScalar adds a fault and returns false unless n is a scalar with one of the tags.
+func (d *decoder) expectScalar(path string, n *yaml.Node, want string, tags ...string) bool {
 	if n.Kind == yaml.ScalarNode {
 		for _, tag := range tags {
 			if n.ShortTag() == tag {
@@ -112,15 +112,15 @@
 			}
 		}
 	}
-	d.wrongType(path, n, want)
+	d.addWrongType(path, n, want)
 	return false
 }
 
-func (d *decoder) wrongType(path string, n *yaml.Node, want string) {
-	d.add(path, "is "+kind(n)+" (line "+strconv.Itoa(n.Line)+")", "allowed is "+want)
+func (d *decoder) addWrongType(path string, n *yaml.Node, want string) {
+	d.add(path, "is "+kindName(n)+" (line "+strconv.Itoa(n.Line)+")", "allowed is "+want)
 }
 
-func kind(n *yaml.Node) string {
+func kindName(n *yaml.Node) string {
 	switch n.Kind {
 	case yaml.MappingNode:
 		return "a mapping"
--- a/node/sheetfile/faulty_test.go
+++ b/node/sheetfile/faulty_test.go
@@ -73,7 +73,7 @@
 		{"name", "name: results", `name: "race results"`,
 			`s.yaml: services\[0\].classes\[1\].name: is "race results", .*`},
 		{"second document", "\n...", "\n---\nfleet: x\n...",
-			`s.yaml: file: holds a second document, .*`},
+			`s.yaml: file: contains a second document, .*`},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
