--- a/node/settings/check.go
+++ b/node/settings/check.go
@@ -16,11 +16,11 @@
 	logFormats = []string{"json", "text"}
 )
 
-const addressAllowed = "an IP number and a port, such as 10.1.2.3:8080"
+const validAddress = "an IP number and a port, such as 10.1.2.3:8080"
 
-// Check returns every fault of settings, after their defaults are filled in.
+// Check applies the defaults to a copy of s and returns all faults of the result.
 func Check(s *pb.Settings) []rule.Fault {
-	c := &checker{settings: WithDefaults(s)}
+	c := &validator{settings: WithDefaults(s)}
 	c.faults = rule.Check(c.settings)
 	c.addresses()
 	c.platform()
@@ -31,18 +31,18 @@
 	return c.faults
 }
 
-type checker struct {
+type validator struct {
 	settings *pb.Settings
 	faults   []rule.Fault
 }
 
-func (c *checker) add(path, allowed, format string, args ...any) {
+func (c *validator) add(path, allowed, format string, args ...any) {
 	c.faults = append(c.faults, rule.Fault{Path: path, Problem: fmt.Sprintf(format, args...), Allowed: allowed})
 }
 
-// addresses checks the listeners and the seeds. Port 0 lets the system choose,
-// which is fit for tests only, but for the seeds it makes no sense.
-func (c *checker) addresses() {
+// addresses checks the addresses of the listeners and the seeds. A listener may have
+// port 0, which lets the operating system choose a port in tests. A seed may not.
+func (c *validator) addresses() {
 	s := c.settings
 	listeners := []struct{ path, address string }{
 		{"caller_address", s.GetCallerAddress()},
@@ -56,7 +56,7 @@
 			continue
 		}
 		if first := seen[at]; first != "" && at.Port() != 0 {
-			c.add(l.path, "each listener has its own address", "%s is the %s too", l.address, first)
+			c.add(l.path, "each listener needs its own address", "%s is already used by %s", l.address, first)
 		}
 		seen[at] = l.path
 	}
@@ -64,25 +64,25 @@
 		path := rule.Index("seeds", i)
 		at, ok := c.address(path, seed)
 		if seed == "" || (ok && at.Port() == 0) {
-			c.add(path, addressAllowed, "is %q", seed)
+			c.add(path, validAddress, "is %q", seed)
 		}
 	}
 }
 
-// address parses an address. An absent one is reported by the schema's rules.
-func (c *checker) address(path, address string) (netip.AddrPort, bool) {
+// address parses an address. rule.Check reports an empty one that is required.
+func (c *validator) address(path, address string) (netip.AddrPort, bool) {
 	if address == "" {
 		return netip.AddrPort{}, false
 	}
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
-		c.add(path, addressAllowed, "is %q", address)
+		c.add(path, validAddress, "is %q", address)
 		return netip.AddrPort{}, false
 	}
 	return at, true
 }
 
-func (c *checker) platform() {
+func (c *validator) platform() {
 	raw := c.settings.GetPlatformUrl()
 	if raw == "" {
 		return
@@ -93,9 +93,9 @@
 	}
 }
 
-// tls refuses a part of the three files: a node that is told of a key but runs
-// without it would speak to its peers in clear text and accept anyone.
-func (c *checker) tls() {
+// tls requires all three files or no tls section. A node that ignored an incomplete
+// section would talk to its peers without encryption and accept any peer.
+func (c *validator) tls() {
 	t := c.settings.GetTls()
 	files := []struct{ path, name string }{
 		{"tls.certificate_file", t.GetCertificateFile()},
@@ -107,18 +107,18 @@
 	}
 	for _, f := range files {
 		if f.name == "" {
-			c.add(f.path, "all three of certificate_file, key_file and authority_file, or no tls", "is missing")
+			c.add(f.path, "set all three of certificate_file, key_file and authority_file, or omit tls", "is missing")
 		}
 	}
 }
 
-func (c *checker) oneOf(path, value string, allowed []string) {
+func (c *validator) oneOf(path, value string, allowed []string) {
 	if !slices.Contains(allowed, value) {
 		c.add(path, "allowed are "+strings.Join(allowed, ", "), "is %q", value)
 	}
 }
 
-func (c *checker) timing() {
+func (c *validator) timing() {
 	t := c.settings.GetTiming()
 	if t.GetPingTimeoutMs() > t.GetPingIntervalMs() {
 		c.add("timing.ping_timeout_ms", fmt.Sprintf("at most ping_interval_ms, %d", t.GetPingIntervalMs()),
--- a/node/settings/settings.go
+++ b/node/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads what one node is told at start.
+// Package settings loads and validates the settings that a node reads at startup.
 package settings
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/carobmill/carobmill/node/schema"
 )
 
-// Defaults of fields that settings may leave out.
+// Defaults of optional settings.
 const (
 	DefaultLogLevel  = "info"
 	DefaultLogFormat = "json"
@@ -18,8 +18,9 @@
 	DefaultMaxBodyBytes   = 1 << 20
 	DefaultMaxResultBytes = 4 << 20
 	DefaultRingSize       = 4096
-	// DefaultPlatformCallsPerSecond suits 8 nodes; docs/operations/settings.md gives the
-	// value for a larger fleet, whose nodes share the platform's rates.
+	// DefaultPlatformCallsPerSecond is for a fleet of 8 nodes. The nodes of a fleet share
+	// the platform's rate limits; docs/operations/settings.md gives the value for a
+	// larger fleet.
 	DefaultPlatformCallsPerSecond = 20
 
 	DefaultPingIntervalMs      = 200
@@ -32,13 +33,13 @@
 
 	DefaultExtraWindowS = 10
 	DefaultGraceS       = 30
-	// DefaultCapacity in cores makes all nodes equal, so that none relays to another.
+	// DefaultCapacity is in cores. Nodes of equal capacity do not relay to each other.
 	DefaultCapacity    = 1
 	DefaultNewsBoundMs = 5000
 )
 
-// Load reads and checks the settings in a file. Without faults the settings
-// come with their defaults filled in.
+// Load reads and checks the settings in a file. It returns either the settings with
+// their defaults applied, or the faults.
 func Load(file string) (*pb.Settings, []schema.Fault) {
 	data, faults := schema.Read(file)
 	if len(faults) > 0 {
@@ -47,7 +48,7 @@
 	return Parse(file, data)
 }
 
-// Parse reads and checks settings; file names them in faults.
+// Parse is Load for the contents of a file; faults name it as file.
 func Parse(file string, data []byte) (*pb.Settings, []schema.Fault) {
 	raw := &pb.Settings{}
 	faults := schema.Decode(file, data, raw)
@@ -60,8 +61,8 @@
 	return WithDefaults(raw), nil
 }
 
-// WithDefaults returns a copy of the settings with every unset field filled in.
-// Applied to its own result it changes nothing.
+// WithDefaults returns a copy of the settings with defaults applied to unset fields.
+// It is idempotent.
 func WithDefaults(s *pb.Settings) *pb.Settings {
 	out := proto.CloneOf(s)
 	if out.Log == nil {
@@ -76,18 +77,18 @@
 	if out.Limits == nil {
 		out.Limits = &pb.Limits{}
 	}
-	limitDefaults(out.Limits)
+	applyLimitDefaults(out.Limits)
 	if out.Timing == nil {
 		out.Timing = &pb.Timing{}
 	}
-	timingDefaults(out.Timing)
+	applyTimingDefaults(out.Timing)
 	if out.Forwarding != nil {
-		forwardingDefaults(out.Forwarding)
+		applyForwardingDefaults(out.Forwarding)
 	}
 	return out
 }
 
-func limitDefaults(l *pb.Limits) {
+func applyLimitDefaults(l *pb.Limits) {
 	l.Workers = orDefault(l.Workers, DefaultWorkers)
 	l.MaxQueries = orDefault(l.MaxQueries, DefaultMaxQueries)
 	l.MaxBodyBytes = orDefault(l.MaxBodyBytes, DefaultMaxBodyBytes)
@@ -96,7 +97,7 @@
 	l.PlatformCallsPerSecond = orDefault(l.PlatformCallsPerSecond, DefaultPlatformCallsPerSecond)
 }
 
-func timingDefaults(t *pb.Timing) {
+func applyTimingDefaults(t *pb.Timing) {
 	t.PingIntervalMs = orDefault(t.PingIntervalMs, DefaultPingIntervalMs)
 	t.PingTimeoutMs = orDefault(t.PingTimeoutMs, min(DefaultPingTimeoutMs, t.PingIntervalMs))
 	t.SuspectTimeoutMs = orDefault(t.SuspectTimeoutMs, max(DefaultSuspectTimeoutMs, t.PingIntervalMs))
@@ -108,9 +109,9 @@
 	t.DrainTimeoutMs = orDefault(t.DrainTimeoutMs, DefaultDrainTimeoutMs)
 }
 
-// forwardingDefaults fills in what has no meaning as 0. A ratio and a slack of 0
-// forbid retries and hedges.
-func forwardingDefaults(f *pb.Forwarding) {
+// applyForwardingDefaults applies defaults to fields for which 0 is not valid. ExtraRatio
+// and ExtraSlack have no default: with both 0, retries and hedges are disabled.
+func applyForwardingDefaults(f *pb.Forwarding) {
 	if f.ExtraWindowS == 0 {
 		f.ExtraWindowS = DefaultExtraWindowS
 	}
