--- a/node/sheetfile/bench_test.go
+++ b/node/sheetfile/bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/carobmill/carobmill/policy/sheet"
 )
 
-// sized makes the YAML of a sheet of two replicas a shard.
-func sized(c *qt.C, replicas int) []byte {
+// sheetYAML returns the YAML of a sheet with two replicas per shard.
+func sheetYAML(c *qt.C, replicas int) []byte {
 	s := &pb.Sheet{Fleet: "f"}
 	for i := range 8 {
 		s.DataCentres = append(s.DataCentres, &pb.DataCentre{Name: fmt.Sprintf("dc-%d", i)})
@@ -41,13 +41,11 @@
 	return text
 }
 
-// BenchmarkSheet is what the operator's tool does with a sheet: read, check and
-// compile it. BenchmarkConfiguration is what a node does with the outcome:
-// decode and index it.
+// BenchmarkSheet parses, checks and compiles a sheet, as carobmillctl does.
 func BenchmarkSheet(b *testing.B) {
 	for _, replicas := range []int{100, 1000, 3500} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
-			text := sized(qt.New(b), replicas)
+			text := sheetYAML(qt.New(b), replicas)
 			b.SetBytes(int64(len(text)))
 			b.ReportAllocs()
 			for b.Loop() {
@@ -60,10 +58,11 @@
 	}
 }
 
+// BenchmarkConfiguration decodes and indexes a compiled sheet, as a node does.
 func BenchmarkConfiguration(b *testing.B) {
 	for _, replicas := range []int{100, 1000, 3500} {
 		b.Run(fmt.Sprint(replicas), func(b *testing.B) {
-			s, _ := sheetfile.Parse("s.yaml", sized(qt.New(b), replicas))
+			s, _ := sheetfile.Parse("s.yaml", sheetYAML(qt.New(b), replicas))
 			cfg, err := sheet.Compile(s, 1, "id", "by")
 			qt.Assert(b, err, qt.IsNil)
 			value, err := proto.Marshal(cfg)
--- a/node/sheetfile/faulty_test.go
+++ b/node/sheetfile/faulty_test.go
@@ -10,15 +10,14 @@
 	"github.com/carobmill/carobmill/node/sheetfile"
 )
 
-func example(c *qt.C) string {
+func exampleSheet(c *qt.C) string {
 	data, err := os.ReadFile("../../examples/kenya.yaml")
 	c.Assert(err, qt.IsNil)
 	return string(data)
 }
 
-// An operator or an export gets one thing wrong in the Kenyan sheet. The check
-// must name the path of the fault; a sheet that passes takes effect on every
-// node within seconds.
+// A sheet with one error must be rejected with the path of the invalid field: a sheet
+// that passes the check takes effect on every node.
 func TestInvalidSheetIsReportedByFieldPath(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -29,48 +28,48 @@
 			"s.yaml: fleat: unknown field, allowed are fleet, data_centres, .*"},
 		{"duplicate key", "fleet: rift", "fleet: x\nfleet: rift",
 			"s.yaml: fleet: is given twice, .*"},
-		{"wrong type", "slots: 3", "slots: three",
+		{"text for a number", "slots: 3", "slots: three",
 			`s.yaml: services\[0\].slots: is text \(line 22\), allowed is a whole number`},
-		{"fraction", "slots: 3", "slots: 1.5",
+		{"fraction for a whole number", "slots: 3", "slots: 1.5",
 			`s.yaml: services\[0\].slots: is a number .*, allowed is a whole number`},
 		{"zero slots", "slots: 3", "slots: 0",
 			`s.yaml: services\[0\].slots: is 0, allowed is 1 to 10000`},
-		{"negative", "slots: 3", "slots: -1",
+		{"negative slots", "slots: 3", "slots: -1",
 			`s.yaml: services\[0\].slots: is -1, allowed is 0 to 4294967295`},
 		{"zero where the default is not 0", "cold_in_flight: 1", "cold_in_flight: 0",
 			`s.yaml: services\[0\].cold_in_flight: is 0, allowed is 1 to 10000`},
 		{"loss over 100%", "max_loss_percent: 20", "max_loss_percent: 101",
 			`s.yaml: max_loss_percent: is 101, allowed is 0 to 100`},
-		{"enum", "state: in_service", "state: away",
+		{"unknown enum value", "state: in_service", "state: away",
 			`s.yaml: data_centres\[0\].state: is "away", allowed are in_service, out`},
-		{"enum's number", "preference: latency", "preference: 1",
+		{"number of an enum value", "preference: latency", "preference: 1",
 			`s.yaml: services\[0\].preference: is "1", allowed are latency, coverage`},
 		{"list for a mapping", "tuning:\n  owners: 2\n  watchers: 2", "tuning: [2, 2]",
 			`s.yaml: tuning: is a list .*, allowed is a mapping of fields`},
 		{"empty value", "fleet: rift-vintage-rally", "fleet:",
 			`s.yaml: fleet: is empty .*, allowed is text .*`},
-		{"alias", "region: kenya", "region: *k", `s.yaml: syntax: .*`},
+		{"undefined alias", "region: kenya", "region: *k", `s.yaml: syntax: .*`},
 		{"duplicate replica", "name: timing-00-b", "name: timing-00-a",
 			`s.yaml: services\[0\].generations\[0\].shards\[0\].replicas\[1\].name: "timing-00-a" is also listed at .*replicas\[0\], .*`},
 		{"duplicate address", "127.0.0.1:21001", "127.0.0.1:21000",
 			`s.yaml: .*shards\[0\].replicas\[1\].address: 127.0.0.1:21000 is the address of .*`},
-		{"host name", "127.0.0.1:21001", "backend:21001",
+		{"host name instead of an IP number", "127.0.0.1:21001", "backend:21001",
 			`s.yaml: .*replicas\[1\].address: is "backend:21001", an IP number and a port.*`},
 		{"unknown data centre", "data_centre: nairobi-2", "data_centre: mombasa",
 			`s.yaml: .*shards\[0\].replicas\[1\].data_centre: unknown data centre "mombasa", .*`},
-		{"more cold than slots", "cold_in_flight: 1", "cold_in_flight: 4",
+		{"cold_in_flight above slots", "cold_in_flight: 1", "cold_in_flight: 4",
 			`s.yaml: services\[0\].cold_in_flight: is 4, at most slots, 3`},
-		{"batches with silent cold starts", "cold_in_flight: 1", "cold_in_flight: 1\n    silent_cold_start: true\n    max_batch: 8",
+		{"max_batch with silent_cold_start", "cold_in_flight: 1", "cold_in_flight: 1\n    silent_cold_start: true\n    max_batch: 8",
 			`s.yaml: services\[0\].max_batch: is 8, .*, 0 or 1 with silent_cold_start`},
-		{"no connection for an owner", "connections: 30", "connections: 2",
+		{"too few connections for the owners", "connections: 30", "connections: 2",
 			`s.yaml: services\[0\].connections: is 2, .*, at least 3 with tuning.owners 2`},
-		{"deadlines", "default_deadline_ms: 240", "default_deadline_ms: 2400",
+		{"default deadline above the maximum", "default_deadline_ms: 240", "default_deadline_ms: 2400",
 			`s.yaml: services\[0\].default_deadline_ms: is 2400, at most max_deadline_ms, 2000`},
-		{"service twice", "- name: inspection\n", "- name: timing\n",
+		{"duplicate service", "- name: inspection\n", "- name: timing\n",
 			`s.yaml: services\[1\].name: "timing" is given twice, .*`},
-		{"class twice", "name: results", "name: checkpoint",
+		{"duplicate class", "name: results", "name: checkpoint",
 			`s.yaml: services\[0\].classes\[1\].name: "checkpoint" is given twice, .*`},
-		{"name", "name: results", `name: "race results"`,
+		{"invalid name", "name: results", `name: "race results"`,
 			`s.yaml: services\[0\].classes\[1\].name: is "race results", .*`},
 		{"second document", "\n...", "\n---\nfleet: x\n...",
 			`s.yaml: file: contains a second document, .*`},
@@ -78,7 +77,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			c := qt.New(t)
-			text := example(c)
+			text := exampleSheet(c)
 			c.Assert(strings.Contains(text, tc.old), qt.IsTrue)
 			_, faults := sheetfile.Parse("s.yaml", []byte(strings.Replace(text, tc.old, tc.new, 1)))
 			c.Assert(faults, qt.HasLen, 1)
@@ -87,10 +86,10 @@
 	}
 }
 
-// A sheet with many faults is mended in one go, so one run names them all.
+// One run must report all faults of a sheet, so that they can be corrected together.
 func TestAllFaultsAreReportedTogether(t *testing.T) {
 	c := qt.New(t)
-	text := example(c)
+	text := exampleSheet(c)
 	text = strings.Replace(text, "slots: 3", "slots: 0", 2)
 	text = strings.Replace(text, "name: timing-00-b", "name: timing-00-a", 1)
 	text = strings.Replace(text, "data_centre: nakuru-1", "data_centre: mombasa", 1)
@@ -107,10 +106,10 @@
 	})
 }
 
-// A shard whose replicas are gone would make every answer partial.
+// A shard without replicas would make every answer partial.
 func TestShardWithoutReplicasIsRejected(t *testing.T) {
 	c := qt.New(t)
-	lines := strings.Split(example(c), "\n")
+	lines := strings.Split(exampleSheet(c), "\n")
 	var kept []string
 	for _, line := range lines {
 		if !strings.Contains(line, "name: timing-00-") {
@@ -124,11 +123,11 @@
 		"s.yaml: services[0].generations[0].shards[0].replicas: is missing or empty, at least one entry is required")
 }
 
-// The export of the sheet stops half-way, at any byte: the rest is often valid
-// YAML and would silently take replicas out of service.
+// A sheet truncated at any byte must be rejected: it is often valid YAML, and would
+// silently take replicas out of service.
 func TestTruncatedFileIsRejectedAtEveryLength(t *testing.T) {
 	c := qt.New(t)
-	text := example(c)
+	text := exampleSheet(c)
 	whole := len(strings.TrimRight(text, "\n"))
 	for length := 0; length < whole; length += 29 {
 		_, faults := sheetfile.Parse("s.yaml", []byte(text[:length]))
--- a/node/sheetfile/sheetfile.go
+++ b/node/sheetfile/sheetfile.go
@@ -1,4 +1,4 @@
-// Package sheetfile reads the operators' sheet from YAML.
+// Package sheetfile loads and validates the operators' sheet, a YAML file.
 package sheetfile
 
 import (
@@ -7,8 +7,8 @@
 	"github.com/carobmill/carobmill/policy/sheet"
 )
 
-// Load reads and checks the sheet in a file. Without faults the sheet comes
-// with its defaults filled in.
+// Load reads and checks the sheet in a file. It returns either the sheet with its
+// defaults applied, or the faults.
 func Load(file string) (*pb.Sheet, []schema.Fault) {
 	data, faults := schema.Read(file)
 	if len(faults) > 0 {
@@ -17,7 +17,7 @@
 	return Parse(file, data)
 }
 
-// Parse reads and checks a sheet; file names it in faults.
+// Parse is Load for the contents of a file; faults name it as file.
 func Parse(file string, data []byte) (*pb.Sheet, []schema.Fault) {
 	raw := &pb.Sheet{}
 	faults := schema.Decode(file, data, raw)
