--- a/node/telemetry/class.go
+++ b/node/telemetry/class.go
@@ -11,44 +11,45 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// Buckets of the histograms.
+// Histogram buckets.
 var (
 	latencyBuckets  = tally.MustMakeExponentialDurationBuckets(250*time.Microsecond, 1.5, 28)
 	coverageBuckets = tally.ValueBuckets{0, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.999, 1}
 	attemptsBuckets = tally.MustMakeLinearValueBuckets(1, 1, 6)
 )
 
-// The measures cover the last minute, in windows of ten seconds.
+// ClassStats cover the last minute, in windows of ten seconds.
 const (
-	windows      = 6
+	windowCount  = 6
 	windowLength = 10 * time.Second
-	// maxRecorded bounds the latencies that the p99 can tell apart.
-	maxRecorded       = time.Minute
-	significantDigits = 2
-	// weightUnit turns weights into whole numbers for counters.
+	// maxRecordedLatency is the largest latency that the p99 histogram records; longer ones
+	// count as this.
+	maxRecordedLatency = time.Minute
+	significantDigits  = 2
+	// weightUnit scales weights to integers, because counters are integers.
 	weightUnit = 1000
 )
 
-// classMetrics holds what is recorded for one class of one service.
+// classMetrics holds the metrics of one class of one service.
 type classMetrics struct {
 	latency, coverage, attempts, queued, subrequest tally.Histogram
 	outcome                                         [outcomes]tally.Counter
-	weightAll, weightMet                            tally.Counter
+	totalWeight, metWeight                          tally.Counter
 	p99, share                                      tally.Gauge
 
 	// mu guards the fields below.
 	mu      sync.Mutex
 	window  *hdrhistogram.WindowedHistogram
-	weights [windows]weights
-	// weight of the class in the last answer.
-	weight  float64
-	current int
-	turned  time.Time
+	weights [windowCount]weights
+	// lastWeight is the weight of the class in the last recorded request.
+	lastWeight    float64
+	currentWindow int
+	rotated       time.Time
 }
 
-// weights of the requests in one window: all of them, and those answered in
-// full and on time.
-type weights struct{ all, met float64 }
+// weights are the total weights of the requests in one window: of all requests, and of
+// those answered in full and on time.
+type weights struct{ total, met float64 }
 
 func (m *Metrics) class(service, class string) *classMetrics {
 	key := classKey{service, class}
@@ -57,19 +58,19 @@
 	}
 	scope := m.scope.Tagged(map[string]string{"service": service, "class": class})
 	c := &classMetrics{
-		latency:    scope.Histogram("query_latency_seconds", latencyBuckets),
-		coverage:   scope.Histogram("query_coverage", coverageBuckets),
-		attempts:   scope.Histogram("subrequest_attempts", attemptsBuckets),
-		queued:     scope.Histogram("subrequest_queue_seconds", latencyBuckets),
-		subrequest: scope.Histogram("subrequest_latency_seconds", latencyBuckets),
-		weightAll:  scope.Counter("weight_milli_total"),
-		weightMet:  scope.Counter("weight_met_milli_total"),
-		p99:        scope.Gauge("query_latency_p99_seconds"),
-		share:      scope.Gauge("full_and_on_time_share"),
-		window: hdrhistogram.NewWindowed(windows, 1,
-			maxRecorded.Microseconds(), significantDigits),
-		weight: 1,
-		turned: time.Now(),
+		latency:     scope.Histogram("query_latency_seconds", latencyBuckets),
+		coverage:    scope.Histogram("query_coverage", coverageBuckets),
+		attempts:    scope.Histogram("subrequest_attempts", attemptsBuckets),
+		queued:      scope.Histogram("subrequest_queue_seconds", latencyBuckets),
+		subrequest:  scope.Histogram("subrequest_latency_seconds", latencyBuckets),
+		totalWeight: scope.Counter("weight_milli_total"),
+		metWeight:   scope.Counter("weight_met_milli_total"),
+		p99:         scope.Gauge("query_latency_p99_seconds"),
+		share:       scope.Gauge("full_and_on_time_share"),
+		window: hdrhistogram.NewWindowed(windowCount, 1,
+			maxRecordedLatency.Microseconds(), significantDigits),
+		lastWeight: 1,
+		rotated:    time.Now(),
 	}
 	for o := range c.outcome {
 		c.outcome[o] = scope.Tagged(map[string]string{"outcome": Outcome(o).String()}).Counter("queries_total")
@@ -78,60 +79,61 @@
 	return stored.(*classMetrics)
 }
 
-// measure records the request for the measures. A refused request has no
-// latency, but it counts as not answered in full and on time.
-func (c *classMetrics) measure(q Query) {
+// recordStats adds the request to the class statistics. A refused request has no
+// latency, but counts as not answered in full and on time.
+func (c *classMetrics) recordStats(q Query) {
 	met := q.Outcome == OutcomeComplete && q.OnTime
-	c.weightAll.Inc(int64(q.Weight * weightUnit))
+	c.totalWeight.Inc(int64(q.Weight * weightUnit))
 	if met {
-		c.weightMet.Inc(int64(q.Weight * weightUnit))
+		c.metWeight.Inc(int64(q.Weight * weightUnit))
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.weight = q.Weight
-	w := &c.weights[c.current]
-	w.all += q.Weight
+	c.lastWeight = q.Weight
+	w := &c.weights[c.currentWindow]
+	w.total += q.Weight
 	if met {
 		w.met += q.Weight
 	}
 	if q.Outcome != OutcomeRefused {
-		took := min(max(q.Latency, time.Microsecond), maxRecorded)
-		// In range, so that recording cannot fail.
-		_ = c.window.Current.RecordValue(took.Microseconds())
+		latency := min(max(q.Latency, time.Microsecond), maxRecordedLatency)
+		// The latency is within the histogram's range, so that RecordValue cannot fail.
+		_ = c.window.Current.RecordValue(latency.Microseconds())
 	}
 }
 
-func (c *classMetrics) knownWeight() float64 {
+func (c *classMetrics) readLastWeight() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.weight
+	return c.lastWeight
 }
 
-// turn begins a new window when the current one is full.
-func (c *classMetrics) turn(now time.Time) {
+// rotate starts a new window when the current one is windowLength old.
+func (c *classMetrics) rotate(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(c.turned) < windowLength {
+	if now.Sub(c.rotated) < windowLength {
 		return
 	}
-	c.turned = now
+	c.rotated = now
 	c.window.Rotate()
-	c.current = (c.current + 1) % windows
-	c.weights[c.current] = weights{}
+	c.currentWindow = (c.currentWindow + 1) % windowCount
+	c.weights[c.currentWindow] = weights{}
 }
 
-// ClassStats is how one class fared over the last minute.
+// ClassStats are the statistics of one class over the last minute.
 type ClassStats struct {
 	Service, Class string
-	// Answered requests; refused ones are not among them.
+	// Answered is the number of answered requests, without refused ones.
 	Answered int64
 	P99      time.Duration
-	// Weight of all requests and of those answered in full and on time.
+	// Weight is the total weight of all requests, and WeightMet that of the requests
+	// answered in full and on time.
 	Weight, WeightMet float64
 }
 
-// FullAndOnTimeShare returns the weighted share of requests answered in full and on time; 1
-// when there was none.
+// FullAndOnTimeShare returns the weighted share of requests answered in full and on
+// time, or 1 if there were no requests.
 func (s ClassStats) FullAndOnTimeShare() float64 {
 	if s.Weight == 0 {
 		return 1
@@ -150,13 +152,13 @@
 		P99:      time.Duration(merged.ValueAtQuantile(99)) * time.Microsecond,
 	}
 	for _, w := range c.weights {
-		s.Weight += w.all
+		s.Weight += w.total
 		s.WeightMet += w.met
 	}
 	return s
 }
 
-// ClassStats returns every class's figures over the last minute, in no order.
+// ClassStats returns the statistics of all classes over the last minute, unordered.
 func (m *Metrics) ClassStats() []ClassStats {
 	var all []ClassStats
 	m.classes.Range(func(key, c any) bool {
@@ -166,8 +168,8 @@
 	return all
 }
 
-// publish sets the gauges of the measures until Close.
-func (m *Metrics) publish() {
+// reportGauges updates all gauges once per reportInterval until Close.
+func (m *Metrics) reportGauges() {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
@@ -175,16 +177,16 @@
 		case <-m.stop:
 			return
 		case now := <-ticker.C:
-			m.refresh(now)
-			m.askSources()
+			m.updateClassGauges(now)
+			m.updateSourceGauges()
 		}
 	}
 }
 
-func (m *Metrics) refresh(now time.Time) {
+func (m *Metrics) updateClassGauges(now time.Time) {
 	m.classes.Range(func(key, value any) bool {
 		c := value.(*classMetrics)
-		c.turn(now)
+		c.rotate(now)
 		s := c.read(key.(classKey))
 		c.p99.Update(s.P99.Seconds())
 		c.share.Update(s.FullAndOnTimeShare())
@@ -192,7 +194,7 @@
 	})
 }
 
-// reasonName turns REASON_NO_SNAPSHOT into no_snapshot.
+// reasonName returns the metric tag of a reason: no_snapshot for REASON_NO_SNAPSHOT.
 func reasonName(r pb.Reason) string {
 	return strings.ToLower(strings.TrimPrefix(r.String(), "REASON_"))
 }
--- a/node/telemetry/log.go
+++ b/node/telemetry/log.go
@@ -8,14 +8,14 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Formats of NewLog.
+// Log formats accepted by NewLog.
 const (
 	FormatJSON = "json"
 	FormatText = "text"
 )
 
-// NewLog returns a log on standard error. level is a logrus level name, format
-// is FormatJSON or FormatText; empty strings mean info and JSON.
+// NewLog returns a logger that writes to standard error. level is a logrus level name,
+// format is FormatJSON or FormatText; empty strings mean info and JSON.
 func NewLog(level, format string) (*logrus.Logger, error) {
 	log := logrus.New()
 	log.SetOutput(os.Stderr)
--- a/node/telemetry/loglimiter.go
+++ b/node/telemetry/loglimiter.go
@@ -5,35 +5,33 @@
 	"time"
 )
 
-// LogLimiter bounds the log lines about single requests, so that the log costs the
-// same under any load. Lines about failures have a budget of their own. The zero
-// value is ready. Safe for concurrent use.
+// LogLimiter limits the rate of log lines about individual requests, so that the cost
+// of logging does not grow with the load. Lines about failures have a separate limit.
+// The zero value is ready to use. Safe for concurrent use.
 type LogLimiter struct {
 	// mu guards the fields below.
 	mu       sync.Mutex
 	second   int64
-	ordinary int
+	routine  int
 	failures int
 }
 
 const (
-	// ordinaryLines and failureLines are the lines a second of one node. A line
-	// costs about ten microseconds: half a percent of a core at both limits.
-	ordinaryLines = 1
-	failureLines  = 50
+	routineLinesPerSecond = 1
+	failureLinesPerSecond = 50
 )
 
-// Allow reports whether a line may be written now.
-func (b *LogLimiter) Allow(now time.Time, failure bool) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if second := now.Unix(); second != b.second {
-		b.second, b.ordinary, b.failures = second, 0, 0
+// Allow reports whether a line may be written now, and counts it.
+func (l *LogLimiter) Allow(now time.Time, failure bool) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if second := now.Unix(); second != l.second {
+		l.second, l.routine, l.failures = second, 0, 0
 	}
 	if failure {
-		b.failures++
-		return b.failures <= failureLines
+		l.failures++
+		return l.failures <= failureLinesPerSecond
 	}
-	b.ordinary++
-	return b.ordinary <= ordinaryLines
+	l.routine++
+	return l.routine <= routineLinesPerSecond
 }
--- a/node/telemetry/metrics.go
+++ b/node/telemetry/metrics.go
@@ -13,10 +13,11 @@
 	pb "github.com/carobmill/carobmill/api/carobmillv1"
 )
 
-// reportInterval is how often tally hands its values to the Prometheus reporter.
+// reportInterval is how often gauges are updated, and how often tally passes its
+// values to the Prometheus reporter.
 const reportInterval = time.Second
 
-// Outcome of a request as the caller sees it.
+// Outcome is the result of a request as the caller sees it.
 type Outcome int
 
 // Outcomes.
@@ -41,7 +42,7 @@
 	return "unknown"
 }
 
-// Query is what is recorded about one answered request.
+// Query holds the values recorded for one answered request.
 type Query struct {
 	Service, Class string
 	Outcome        Outcome
@@ -49,24 +50,24 @@
 	Latency time.Duration
 	// Coverage is the share of shards answered, from 0 to 1.
 	Coverage float64
-	// Weight of the class in the share answered in full and on time.
+	// Weight of the class in the share of requests answered in full and on time.
 	Weight float64
-	// OnTime is set when the answer left before the deadline.
+	// OnTime is true if the answer was sent before the deadline.
 	OnTime bool
 }
 
-// Subrequest is what is recorded about one shard's part of a query.
+// Subrequest holds the values recorded for one shard's part of a query.
 type Subrequest struct {
 	Service, Class string
-	// Attempts sent for it, hedges, retries and warm-ups included.
+	// Attempts is the number of attempts sent, including hedges, retries and warm-ups.
 	Attempts int
-	// QueueTime at the owner before a connection and a slot were free.
+	// QueueTime is the wait at the owner for a free connection and slot.
 	QueueTime time.Duration
-	// Latency from the first attempt to the answer used.
+	// Latency is the time from the first attempt to the answer that was used.
 	Latency time.Duration
 }
 
-// Metrics records what a node does. Safe for concurrent use.
+// Metrics holds the metrics of one node. Safe for concurrent use.
 type Metrics struct {
 	scope  tally.Scope
 	closer io.Closer
@@ -78,7 +79,7 @@
 	// counters holds a tally.Counter for each counterKey.
 	counters sync.Map
 
-	// mu guards the field below.
+	// mu guards sources.
 	mu      sync.Mutex
 	sources []GaugeSource
 }
@@ -87,9 +88,9 @@
 
 type counterKey struct{ name, service, class, reason string }
 
-// New starts the metrics of one node. The handler serves them to Prometheus.
-// Each call has a registry of its own, so that several nodes in one process do
-// not mix. Close ends the reporting.
+// New returns the metrics of one node and the handler that serves them to Prometheus.
+// Each call creates a separate registry, so that the metrics of several nodes in one
+// process stay separate. Close stops the reporting.
 func New() (*Metrics, http.Handler) {
 	reporter := tallyprom.NewReporter(tallyprom.Options{Registerer: prometheus.NewRegistry()})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -100,15 +101,16 @@
 		OmitCardinalityMetrics: true,
 	}, reportInterval)
 	m := &Metrics{scope: scope, closer: closer, stop: make(chan struct{})}
-	go m.publish()
+	go m.reportGauges()
 	return m, reporter.HTTPHandler()
 }
 
-// Close stops the reporting. Recording afterwards does no harm.
+// Close reports the current values and stops the reporting. Values may still be
+// recorded afterwards.
 func (m *Metrics) Close() {
 	m.once.Do(func() {
 		close(m.stop)
-		// The reporter has nothing to flush to, so its error tells nothing.
+		// The Prometheus reporter has nothing to flush, so that its error is irrelevant.
 		_ = m.closer.Close()
 	})
 }
@@ -121,7 +123,7 @@
 		c.latency.RecordDuration(q.Latency)
 		c.coverage.RecordValue(q.Coverage)
 	}
-	c.measure(q)
+	c.recordStats(q)
 }
 
 // Subrequest records one shard's part of a query.
@@ -137,7 +139,7 @@
 	m.count(counterKey{name: "hedges", service: service, class: class})
 }
 
-// WarmUp counts a copy of a subrequest that was sent to a cold replica.
+// WarmUp counts a copy of a subrequest that was sent to warm up a cold replica.
 func (m *Metrics) WarmUp(service, class string) {
 	m.count(counterKey{name: "warm_ups", service: service, class: class})
 }
@@ -147,13 +149,13 @@
 	m.count(counterKey{name: "retries", service: service, class: class})
 }
 
-// Refused records a request that was refused before it began, by reason. It
-// counts as not answered in full and on time, with the weight that the class's
-// answers have; do not record it as a Query too.
+// Refused records a request that was refused before execution, by reason. The request
+// counts as not answered in full and on time, with the weight of the class's last
+// recorded request. The caller must not also record it with Query.
 func (m *Metrics) Refused(service, class string, reason pb.Reason) {
 	c := m.class(service, class)
 	c.outcome[OutcomeRefused].Inc(1)
-	c.measure(Query{Outcome: OutcomeRefused, Weight: c.knownWeight()})
+	c.recordStats(Query{Outcome: OutcomeRefused, Weight: c.readLastWeight()})
 	m.count(counterKey{name: "refused", service: service, class: class, reason: reasonName(reason)})
 }
 
@@ -162,33 +164,35 @@
 	m.count(counterKey{name: "absent_shards", service: service, class: class, reason: reasonName(reason)})
 }
 
-// DroppedReply counts a reply that was late, crossed or from another snapshot.
+// DroppedReply counts a reply that was discarded, by reason: late, for another
+// request, or from another snapshot.
 func (m *Metrics) DroppedReply(service string, reason pb.Reason) {
 	m.count(counterKey{name: "dropped_replies", service: service, reason: reasonName(reason)})
 }
 
-// Restart counts a query that began anew at a newer snapshot.
+// Restart counts a query that was restarted at a newer snapshot.
 func (m *Metrics) Restart(service, class string) {
 	m.count(counterKey{name: "restarts", service: service, class: class})
 }
 
-// Decision counts an entry of the decision ring by its kind.
+// Decision counts an entry of the decision ring, by kind.
 func (m *Metrics) Decision(kind string) {
 	m.count(counterKey{name: "decisions", reason: kind})
 }
 
-// GaugeSource gives values of the node, such as the configuration version in force,
-// by calling set for each.
+// GaugeSource reports values of the node, such as the active configuration version, by
+// calling set for each.
 type GaugeSource func(set func(name string, value float64))
 
-// AddGaugeSource makes the values of a source gauges; it is asked once a second.
+// AddGaugeSource registers a source, whose values are published as gauges once per
+// reportInterval.
 func (m *Metrics) AddGaugeSource(s GaugeSource) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.sources = append(m.sources, s)
 }
 
-func (m *Metrics) askSources() {
+func (m *Metrics) updateSourceGauges() {
 	m.mu.Lock()
 	sources := m.sources
 	m.mu.Unlock()
--- a/node/telemetry/queued.go
+++ b/node/telemetry/queued.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// queuedLines bounds the log lines that wait to be written. A line has some
-	// hundreds of bytes, so that the queue stays under a megabyte.
-	queuedLines = 1024
-	// closeTimeout bounds how long Close waits for a reader that does not read.
+	// maxQueuedLines bounds the queue. At a few hundred bytes per line, it stays below
+	// 1 MB.
+	maxQueuedLines = 1024
+	// closeTimeout bounds how long Close waits for a blocked destination.
 	closeTimeout = 500 * time.Millisecond
 )
 
-// QueuedWriter writes lines in the background. When whoever reads them is slow, lines
-// are dropped and counted instead of holding up a request. Safe for concurrent use.
+// QueuedWriter writes lines in the background. If the destination is slow, lines are
+// dropped and counted, so that no request waits for the log. Safe for concurrent use.
 type QueuedWriter struct {
-	to    io.Writer
+	dest  io.Writer
 	lines chan []byte
 	done  chan struct{}
 
@@ -28,14 +28,15 @@
 	dropped uint64
 }
 
-// NewQueuedWriter returns a writer to another one.
-func NewQueuedWriter(to io.Writer) *QueuedWriter {
-	w := &QueuedWriter{to: to, lines: make(chan []byte, queuedLines), done: make(chan struct{})}
+// NewQueuedWriter returns a writer that writes to another one.
+func NewQueuedWriter(dest io.Writer) *QueuedWriter {
+	w := &QueuedWriter{dest: dest, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write queues one line. It never waits.
+// Write queues a copy of one line and never blocks. The line is dropped if the queue
+// is full or the writer is closed; only the former is counted.
 func (w *QueuedWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -50,7 +51,8 @@
 	return len(line), nil
 }
 
-// Close writes what is queued, as far as the reader takes it in time.
+// Close stops accepting lines and waits up to closeTimeout for the queued lines to be
+// written.
 func (w *QueuedWriter) Close() {
 	w.mu.Lock()
 	if !w.closed {
@@ -74,8 +76,7 @@
 		if dropped > 0 {
 			line = append(line, fmt.Sprintf("{\"level\":\"warning\",\"msg\":\"log lines were dropped\",\"dropped\":%d}\n", dropped)...)
 		}
-		// Whoever reads the log is gone when it cannot be written; there is nobody
-		// left to tell.
-		_, _ = w.to.Write(line)
+		// A write error is ignored: the log is the only place to report it.
+		_, _ = w.dest.Write(line)
 	}
 }
--- a/node/telemetry/queued_test.go
+++ b/node/telemetry/queued_test.go
@@ -12,43 +12,43 @@
 	"github.com/carobmill/carobmill/node/telemetry"
 )
 
-// gate is a reader of the log that does not read until it is opened.
-type gate struct {
+// blockingWriter is a log destination whose writes block until open is closed.
+type blockingWriter struct {
 	open chan struct{}
-	// mu guards the text.
+	// mu guards text.
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (g *gate) Write(p []byte) (int, error) {
-	<-g.open
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.text.Write(p)
+func (b *blockingWriter) Write(p []byte) (int, error) {
+	<-b.open
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(p)
 }
 
-// Whoever reads a node's standard output stands still. Requests go on: lines that find
-// the queue full are dropped, and their number is told when the reader is back.
+// A blocked log destination must not block requests: lines are dropped when the queue
+// is full, and their number is logged once the destination accepts writes again.
 func TestQueuedWriterDropsLinesInsteadOfBlocking(t *testing.T) {
 	c := qt.New(t)
-	g := &gate{open: make(chan struct{})}
-	w := telemetry.NewQueuedWriter(g)
+	b := &blockingWriter{open: make(chan struct{})}
+	w := telemetry.NewQueuedWriter(b)
 	for range 3000 {
 		_, err := w.Write([]byte("{\"msg\":\"line\"}\n"))
 		c.Assert(err, qt.IsNil)
 	}
-	close(g.open)
+	close(b.open)
 	w.Close()
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	text := g.text.String()
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	text := b.text.String()
 	lines := strings.Count(text, `"msg":"line"`)
 	c.Assert(lines >= 1024 && lines < 1100, qt.IsTrue, qt.Commentf("%d lines", lines))
-	// Told in one line or two, as the writer gets to run while lines are still dropped;
-	// every line is either there or counted.
+	// The drops may be reported in several lines, because the writer runs while lines
+	// are dropped. Every line must be either written or counted.
 	dropped := 0
-	for _, told := range regexp.MustCompile(`"dropped":(\d+)`).FindAllStringSubmatch(text, -1) {
-		n, err := strconv.Atoi(told[1])
+	for _, match := range regexp.MustCompile(`"dropped":(\d+)`).FindAllStringSubmatch(text, -1) {
+		n, err := strconv.Atoi(match[1])
 		c.Assert(err, qt.IsNil)
 		dropped += n
 	}
--- a/node/telemetry/telemetry_test.go
+++ b/node/telemetry/telemetry_test.go
@@ -40,23 +40,23 @@
 
 func TestNodesInOneProcessHaveSeparateMetrics(t *testing.T) {
 	c := qt.New(t)
-	one, oneHandler := telemetry.New()
-	two, twoHandler := telemetry.New()
-	one.Refused("timing", "entrant", pb.Reason_REASON_OVERLOAD)
-	two.Hedge("timing", "checkpoint")
-	one.Query(telemetry.Query{Service: "timing", Class: "entrant", Latency: time.Millisecond, Coverage: 1})
-	// Closing reports what was recorded so far.
-	one.Close()
-	two.Close()
+	first, firstHandler := telemetry.New()
+	second, secondHandler := telemetry.New()
+	first.Refused("timing", "entrant", pb.Reason_REASON_OVERLOAD)
+	second.Hedge("timing", "checkpoint")
+	first.Query(telemetry.Query{Service: "timing", Class: "entrant", Latency: time.Millisecond, Coverage: 1})
+	// Close reports the values recorded so far.
+	first.Close()
+	second.Close()
 
-	c.Assert(scrape(oneHandler), qt.Contains,
+	c.Assert(scrape(firstHandler), qt.Contains,
 		`carobmill_refused_total{class="entrant",reason="overload",service="timing"} 1`)
-	c.Assert(scrape(oneHandler), qt.Contains,
+	c.Assert(scrape(firstHandler), qt.Contains,
 		`carobmill_queries_total{class="entrant",outcome="complete",service="timing"} 1`)
-	c.Assert(scrape(oneHandler), qt.Contains,
+	c.Assert(scrape(firstHandler), qt.Contains,
 		`carobmill_queries_total{class="entrant",outcome="refused",service="timing"} 1`)
-	c.Assert(strings.Contains(scrape(oneHandler), "hedges"), qt.IsFalse)
-	c.Assert(scrape(twoHandler), qt.Contains,
+	c.Assert(strings.Contains(scrape(firstHandler), "hedges"), qt.IsFalse)
+	c.Assert(scrape(secondHandler), qt.Contains,
 		`carobmill_hedges_total{class="checkpoint",service="timing"} 1`)
 }
 
