--- a/node/peer/doc.go
+++ b/node/peer/doc.go
@@ -1,4 +1,4 @@
-// Package peer carries messages between the nodes of one fleet over grpc-go: a
-// pool of connections, and the server side. Each message and each answer holds
-// an envelope, which the fleet checks and reads before anything else.
+// Package peer implements the gRPC client and server between the nodes of one fleet,
+// with a pool of connections. Each request has an envelope. The server passes it to the
+// fleet, which checks it before the server processes the rest of the request.
 package peer
