--- a/node/owner/owned.go
+++ b/node/owner/owned.go
@@ -105,7 +105,7 @@
 // share. Caller holds mu.
 func (r *ownedReplica) updateLimiter(now time.Time, replica *config.Replica, share int, first bool) {
 	spec := replica.Service.Spec
-	r.limiter.SetCold(int(spec.GetColdInFlight()), spec.GetSilentColdStart())
+	r.limiter.SetColdLimits(int(spec.GetColdInFlight()), spec.GetSilentColdStart())
 	r.limiter.SetShare(now, share, first)
 }
 
--- a/policy/limit/limit.go
+++ b/policy/limit/limit.go
@@ -164,9 +164,9 @@
 	}
 }
 
-// SetCold applies a change of ColdInFlight and Exclusive. Requests in flight
+// SetColdLimits applies a change of ColdInFlight and Exclusive. Requests in flight
 // continue. A call without a change has no effect.
-func (l *Limiter) SetCold(coldInFlight int, exclusive bool) {
+func (l *Limiter) SetColdLimits(coldInFlight int, exclusive bool) {
 	if coldInFlight == l.coldInFlight && exclusive == l.params.Exclusive {
 		return
 	}
