--- a/policy/config/config.go
+++ b/policy/config/config.go
@@ -32,7 +32,7 @@
 	InService bool
 }
 
-// Service is one searchable index.
+// Service is one search service of the sheet.
 type Service struct {
 	Name string
 	Spec *pb.Service
--- a/policy/config/config_test.go
+++ b/policy/config/config_test.go
@@ -9,6 +9,7 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
+// repartitioned returns a configuration whose service has two generations.
 func repartitioned() *pb.Configuration {
 	replica := func(name, dc, addr string) *pb.Replica {
 		return &pb.Replica{Name: name, DataCentre: dc, Address: addr}
