--- a/policy/configstate/configstate.go
+++ b/policy/configstate/configstate.go
@@ -1,6 +1,6 @@
 // Package configstate selects the configuration version that is in force at a
-// node, the nodes that watch the platform's key, and the peers that the other
-// nodes pull from. The version in force never decreases.
+// node, the nodes that watch the platform's key, and the peers from which a node
+// pulls a version. The version in force never decreases.
 package configstate
 
 import (
@@ -86,9 +86,9 @@
 }
 
 // IsWatcher reports whether self is one of the nodes of its data centre that watch
-// the platform's key. Each node computes this from its own member table. While
-// tables differ, the number of watchers may temporarily differ from watchers, which
-// is harmless.
+// the platform's key. Each node computes this from its own member table. While the
+// tables differ, more or fewer nodes than the parameter watchers may watch, which is
+// harmless.
 func IsWatcher(self string, dataCentre string, usable []string, watchers int) bool {
 	ranked := ownership.Rank("watch/"+dataCentre, usable)
 	if len(ranked) > watchers {
@@ -115,7 +115,7 @@
 // StartVersion returns the version that a node starts with when it cannot reach
 // the platform, and the peers to pull that version from. It is the highest version
 // that at least startQuorum peers have reached, or all peers when fewer than that
-// exist. The result is 0 while too few peers have answered.
+// exist. The result is 0 while too few peers have answered or have a configuration.
 //
 // An accepted version is superseded but never withdrawn, so a peer with a higher
 // version counts for the lower one too. Without the quorum, a node could start with
--- a/policy/configstate/configstate_test.go
+++ b/policy/configstate/configstate_test.go
@@ -102,13 +102,13 @@
 		return
 	}
 	atLeast := 0
-	for _, h := range answers {
-		if h.Version >= version {
+	for _, a := range answers {
+		if a.Version >= version {
 			atLeast++
 		}
 	}
 	if atLeast < min(startQuorum, len(m.nodes)-1) {
-		t.Fatalf("StartsOnlyOnWhatSeveralHold: start with version %d, which only %d of %d peers have reached",
+		t.Fatalf("StartVersionHasQuorum: start with version %d, which only %d of %d peers have reached",
 			version, atLeast, len(answers))
 	}
 	for _, source := range sources {
@@ -123,7 +123,7 @@
 	ids := make(map[uint64]string)
 	for _, c := range m.accepted {
 		if id, ok := ids[c.GetVersion()]; ok && id != c.GetPublishId() {
-			t.Fatalf("OneConfigurationAVersion: version %d is both %s and %s", c.GetVersion(), id, c.GetPublishId())
+			t.Fatalf("OneConfigurationPerVersion: version %d is both %s and %s", c.GetVersion(), id, c.GetPublishId())
 		}
 		ids[c.GetVersion()] = c.GetPublishId()
 	}
