--- a/policy/limit/batch.go
+++ b/policy/limit/batch.go
@@ -3,18 +3,19 @@
 import "time"
 
 // A batch is a call that carries several subrequests. It occupies one slot,
-// because the share of a warm replica is a number of connections. Two rules
-// differ from those of a single request.
+// because an owner's share of a warm replica counts calls, one per connection. Two
+// rules differ from those of a single request.
 //
 // A replica that turns cold works on each subrequest of a batch in flight. Counted
 // as one request, the batch would let the first-ranked owner send more to an
-// overloaded cold replica. So while the replica is not warm, a batch counts as
-// its subrequests.
+// overloaded cold replica. So while only the first owner may use the replica, a
+// batch counts as its subrequests.
 //
 // A batch ends with its slowest subrequest. At 1% stragglers, one batch of 32 in
 // four contains a straggler. Measured by its end, a healthy replica would look
 // cold. So the latency of a batch is that of the answer that completes its first
-// half, the median of its subrequests. After that answer the batch is not overdue.
+// half, the median of its subrequests. After that answer the batch no longer counts
+// as overdue.
 
 // batches counts the batches in flight.
 type batches struct {
@@ -49,6 +50,7 @@
 }
 
 // holdSlots keeps the slots of a cancelled request occupied for the grace period.
+// They count only while FirstOwnerOnly is true.
 func (l *Limiter) holdSlots(now time.Time, s Sample) {
 	grace := l.params.CancelGrace
 	if l.params.Exclusive {
--- a/policy/limit/latency.go
+++ b/policy/limit/latency.go
@@ -80,8 +80,8 @@
 	return true
 }
 
-// overdue returns the age at which a request in flight is late for any class, or 0
-// without a reference.
+// overdue returns the age at which a request in flight is late whatever its class,
+// or 0 without a reference.
 func (l *latency) overdue() time.Duration {
 	return overdueFactor * max(l.peers, l.best)
 }
--- a/policy/limit/limit.go
+++ b/policy/limit/limit.go
@@ -15,7 +15,7 @@
 	// serve, over all nodes.
 	ColdInFlight int
 	// First is true when this node is the replica's first-ranked owner and the
-	// earlier one has left or is confirmed gone.
+	// earlier first-ranked owner has left or is confirmed gone.
 	First bool
 	// TakeoverDelay is how long a new first owner sends nothing to a replica that
 	// only the first owner may use. Within this time the requests of the earlier
@@ -55,8 +55,8 @@
 type phase int
 
 const (
-	// unknown: no signal of a cold start was seen, nor enough successes. Treated
-	// like cold.
+	// unknown: the initial phase, and the phase of an owner that loses the first rank
+	// while ramping. Treated like cold.
 	unknown phase = iota
 	// cold: a signal of a cold start was seen.
 	cold
@@ -138,19 +138,18 @@
 	return pb.Reason_REASON_UNSPECIFIED
 }
 
-// SetShare applies a change of ownership. Requests in flight continue. A node that
-// is no longer first sends nothing new to a replica that is not warm. A node that
-// becomes first waits for TakeoverDelay before it uses such a replica. A call
-// without a change has no effect.
+// SetShare applies a change of ownership. Requests in flight continue. While
+// FirstOwnerOnly is true, a node that is no longer first sends nothing new, and a node
+// that becomes first waits for TakeoverDelay. A call without a change has no effect.
 func (l *Limiter) SetShare(now time.Time, maxInFlight int, first bool) {
 	if maxInFlight == l.share && first == l.params.First {
 		return
 	}
 	l.share = maxInFlight
-	became := first && !l.params.First
+	becomesFirst := first && !l.params.First
 	l.params.First = first
 	l.applyBounds()
-	if became && l.FirstOwnerOnly() {
+	if becomesFirst && l.FirstOwnerOnly() {
 		l.takeoverUntil = later(l.takeoverUntil, now.Add(l.params.TakeoverDelay))
 	}
 	if l.phase == warm {
@@ -244,7 +243,9 @@
 	return len(l.inFlight.started) + l.batches.measured
 }
 
-// Limit returns how many requests may be in flight now.
+// Limit returns the concurrency limit, or 0 while the replica is draining or only
+// another owner may use it. TryAcquire may allow less: during a takeover delay or a
+// backoff, after a slow answer, and while a request is overdue.
 func (l *Limiter) Limit() int {
 	if l.draining || (l.FirstOwnerOnly() && !l.params.First) {
 		return 0
@@ -292,7 +293,7 @@
 	return limit
 }
 
-// overdue reports whether the oldest request in flight is late for any class.
+// overdue reports whether the oldest request in flight is late whatever its class.
 func (l *Limiter) overdue(now time.Time) bool {
 	after := l.latency.overdue()
 	oldest, ok := l.inFlight.oldest()
--- a/policy/limit/limit_test.go
+++ b/policy/limit/limit_test.go
@@ -38,7 +38,7 @@
 	return n
 }
 
-// round fills the limit, advances the clock by the latency and ends all requests.
+// round acquires all free slots, advances the clock by the latency and ends all requests.
 func (o *owner) round(latency time.Duration, result limit.Result) int {
 	n := o.fillSlots()
 	o.now = o.now.Add(latency)
--- a/policy/limit/release.go
+++ b/policy/limit/release.go
@@ -27,7 +27,8 @@
 
 // Sample is the outcome of one request.
 type Sample struct {
-	// Latency from TryAcquire to the end.
+	// Latency is the time from TryAcquire to the end of the request, and for
+	// ObserveMedian to the answer that completes the first half.
 	Latency time.Duration
 	Result  Result
 	// PeerLatency is the typical latency of the shard's other warm replicas for
@@ -84,8 +85,9 @@
 
 // observeAbandoned handles a request without an answer. Its latency is a lower
 // bound, which can show that the replica is slow but not that it is fast. The
-// replica may work on the request until the cancellation arrives. While the replica
-// is not warm, the request therefore occupies its slot for a grace period.
+// replica may work on the request until the cancellation arrives. While only the
+// first owner may use the replica, the request therefore occupies its slot for a
+// grace period.
 func (l *Limiter) observeAbandoned(now time.Time, s Sample) {
 	l.holdSlots(now, s)
 	if l.latency.countSlow(s) {
@@ -115,7 +117,9 @@
 }
 
 // observeSlow stops growth after an answer above normal latency. coldSlowRun slow
-// answers in a row are a signal of a cold start; fewer may be stragglers.
+// answers in a row are a signal of a cold start; fewer may be stragglers. The limit of
+// a warm replica decreases only for requests sent after its last decrease. Otherwise
+// all requests sent under the old limit would decrease it again.
 func (l *Limiter) observeSlow(now time.Time, s Sample) {
 	l.normalRun = 0
 	if l.latency.slowRun >= coldSlowRun {
@@ -135,7 +139,8 @@
 
 // raiseCold grows the limit of a replica that is not warm yet. After a run of
 // successes at the floor, each success adds one slot, which doubles the limit in
-// each round trip. The replica is warm once the limit is the full share.
+// each round trip. The replica is warm once the limit is the full share and
+// rampAfter + MaxInFlight successes in a row had normal latency.
 func (l *Limiter) raiseCold(s Sample) {
 	if !l.params.First {
 		return
@@ -157,6 +162,7 @@
 	}
 }
 
+// raiseWarm adds one slot in about one round trip at the full limit.
 func (l *Limiter) raiseWarm() {
 	l.limit = min(l.limit+1/l.limit, float64(l.params.MaxInFlight))
 }
--- a/policy/limit/signals.go
+++ b/policy/limit/signals.go
@@ -47,10 +47,10 @@
 	// firstBackoff doubles up to maxBackoff between attempts at a lost replica.
 	firstBackoff = 50 * time.Millisecond
 	maxBackoff   = time.Second
-	// Consecutive reports of a cold start are accepted up to maxColdReports, and
-	// for at least coldReportPeriod. The number alone would reject true reports of a
-	// cold replica that answers often. The period alone would reject the reports of
-	// a replica that is polled rarely.
+	// Reports of a cold start are rejected once more than maxColdReports have arrived
+	// in a row and coldReportPeriod has passed since the first. The number alone would
+	// reject true reports of a cold replica that answers often. The period alone would
+	// reject the reports of a replica that is polled rarely.
 	maxColdReports   = 64
 	coldReportPeriod = 15 * time.Second
 )
