--- a/policy/membership/apply.go
+++ b/policy/membership/apply.go
@@ -11,7 +11,8 @@
 type Outcome int
 
 const (
-	// Ignored means that the change is invalid or does not supersede the record.
+	// Ignored means that the change is invalid, does not supersede the record, or
+	// concerns a new boot that the table does not accept.
 	Ignored Outcome = iota
 	// Applied means that the record was updated and the change queued for gossip.
 	Applied
@@ -60,8 +61,8 @@
 	return Applied
 }
 
-// applyDead records a member that is reported as dead as suspect, unless it is
-// leaving, and pings it with priority.
+// applyDead applies a report that a member is dead. The member becomes suspect, or
+// stays leaving, and is pinged with priority.
 //
 // When a partition heals, each side reports the members of the other side as dead.
 // If those reports were applied as they are, ownership of all replicas would move
@@ -171,7 +172,7 @@
 	t.queue.remove(id)
 }
 
-// raiseConfigVersion updates the highest configuration version reported of a member.
+// raiseConfigVersion updates the highest configuration version reported for a member.
 func (t *Table) raiseConfigVersion(r *record, m Member) {
 	if m.ConfigVersion > r.ConfigVersion {
 		r.ConfigVersion = m.ConfigVersion
--- a/policy/membership/cost_test.go
+++ b/policy/membership/cost_test.go
@@ -15,12 +15,12 @@
 // costs are the results of measure, per node where not stated otherwise.
 type costs struct {
 	idleBytes, churnBytes, healBytes  float64 // sent and received, per second
-	largest                           int
+	largestMessage                    int     // size of the largest message in bytes
 	detect, dead, spread, join, leave time.Duration
 	partitionDetected, healed         time.Duration
-	processor                         float64 // fraction of a core
-	memory                            float64 // bytes
-	wrong                             []string
+	processor                         float64  // fraction of a core
+	memory                            float64  // bytes
+	wrongStates                       []string // members recorded in a state other than alive
 	complete                          bool
 }
 
@@ -119,11 +119,11 @@
 	}))
 	c.healBytes = perNode(c.healed)
 	s.run(5 * time.Second)
-	c.largest = s.largest
+	c.largestMessage = s.largest
 	for _, n := range s.nodes {
 		for _, m := range n.Members() {
 			if other := s.nodes[m.PeerAddress]; other.running && m.State != alive {
-				c.wrong = append(c.wrong, fmt.Sprintf("%s: %+v", n.self.Name, m))
+				c.wrongStates = append(c.wrongStates, fmt.Sprintf("%s: %+v", n.self.Name, m))
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 	return fmt.Sprintf("idle %.0f B/s, with a restart and a leave per minute %.0f B/s, after a partition %.0f B/s, largest message %d B\n"+
 		"suspect after %v, dead after %v, dead on all nodes after %v, replaced on all nodes after %v, left on all nodes after %v\n"+
 		"partition detected for 99%% of pairs after %v, healed for all pairs after %v; processor %.4f%%, memory %.0f KB",
-		c.idleBytes, c.churnBytes, c.healBytes, c.largest, c.detect, c.dead, c.spread, c.join, c.leave,
+		c.idleBytes, c.churnBytes, c.healBytes, c.largestMessage, c.detect, c.dead, c.spread, c.join, c.leave,
 		c.partitionDetected, c.healed, 100*c.processor, c.memory/1024)
 }
 
@@ -146,7 +146,7 @@
 			m := measure(count, 1)
 			t.Log(m)
 			c.Assert(m.complete, qt.IsTrue)
-			c.Check(m.wrong, qt.HasLen, 0)
+			c.Check(m.wrongStates, qt.HasLen, 0)
 			c.Check(m.idleBytes < 4096, qt.IsTrue)
 			c.Check(m.churnBytes < 4096, qt.IsTrue)
 			c.Check(m.detect < 2*time.Second, qt.IsTrue)
--- a/policy/membership/fuzz_test.go
+++ b/policy/membership/fuzz_test.go
@@ -54,7 +54,8 @@
 	actual  map[ID]*actualBoot
 	delayed []message
 	vmLists []timedVMList
-	gone    map[*Table]map[ID]time.Time
+	// gone holds, by table, when each boot was first recorded as gone.
+	gone map[*Table]map[ID]time.Time
 }
 
 // timedVMList is the actual VM list at a point in time.
@@ -105,7 +106,7 @@
 			continue
 		}
 		if v.table.Apply(f.now, c) == DeclaredGone {
-			t.Fatalf("GoneIsTrue: %s is running and is reported as gone", v.name)
+			t.Fatalf("GoneBootHasStopped: %s is running and is reported as gone", v.name)
 		}
 	}
 }
@@ -123,7 +124,8 @@
 }
 
 // ping sends a ping from one VM to a member at its address. lost is 0 when both
-// messages arrive, 1 when the request is lost, 2 when the answer is.
+// messages arrive, 1 when the request is lost, 2 when the answer is delayed until the
+// "late" action delivers it.
 func (f *fleetModel) ping(t *rapid.T, from *vm, target Member, lost int) {
 	request := f.changesFor(from.table, target.ID())
 	to := f.at(target.PeerAddress)
@@ -191,7 +193,7 @@
 			boot := f.actual[id]
 			switch {
 			case r.State == gone && boot.running:
-				t.Fatalf("GoneIsTrue: %s records %v as gone while it is running", v.name, id)
+				t.Fatalf("GoneBootHasStopped: %s records %v as gone while it is running", v.name, id)
 			case r.Incarnation > boot.table.Self().Incarnation:
 				t.Fatalf("OnlyTheMemberRaisesItsIncarnation: %s records %v with incarnation %d, above the member's own",
 					v.name, id, r.Incarnation)
@@ -237,10 +239,10 @@
 			}
 			m, known := v.table.Lookup(other.table.Self().ID())
 			if !known || m.State != other.table.Self().State {
-				t.Fatalf("EveryoneIsFoundAgain: %s records %s as %v", v.name, other.name, m.State)
+				t.Fatalf("TablesConverge: %s records %s as %v", v.name, other.name, m.State)
 			}
 			if boots := v.table.ByName(other.name); len(boots) != 1 {
-				t.Fatalf("OneBootAName: %s records the boots %v", v.name, boots)
+				t.Fatalf("OneBootPerName: %s records the boots %v", v.name, boots)
 			}
 		}
 	}
--- a/policy/membership/member.go
+++ b/policy/membership/member.go
@@ -86,8 +86,8 @@
 	ListLag time.Duration
 	// MaxChanges is the maximum number of gossiped changes in one message.
 	MaxChanges int
-	// MaxMembers is the maximum number of records. Changes of further members are
-	// dropped.
+	// MaxMembers is the maximum number of records. In a full table, a new boot replaces
+	// the boot that has been gone longest, or is ignored if none is gone.
 	MaxMembers int
 	// PingSetSize is the number of live members that a node pings in turn, 0 for
 	// all. It bounds the connections that pings keep open in a large fleet.
@@ -115,6 +115,6 @@
 	Member Member
 	// From is MEMBER_STATE_UNSPECIFIED for a new member.
 	From pb.MemberState
-	// Cause is a short text for the log of decisions.
+	// Cause is a short text for the event log.
 	Cause string
 }
--- a/policy/membership/ping.go
+++ b/policy/membership/ping.go
@@ -8,11 +8,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// deadEvery sends every deadEvery-th ping to a dead member, which detects the end
-// of a partition. A higher share would waste pings during the partition.
+// deadEvery is the interval, in pings, between pings of dead members, which detect
+// the end of a partition. A shorter interval would waste pings during the partition.
 const deadEvery = 5
 
-// priorityEvery sends every priorityEvery-th ping to a member with priority.
+// priorityEvery is the interval, in pings, between pings of members with priority.
 const priorityEvery = 3
 
 // pingOrder is the order of pings. Each round contains every member of the ping set
--- a/policy/membership/queue.go
+++ b/policy/membership/queue.go
@@ -99,8 +99,8 @@
 	return changes
 }
 
-// NonAliveChange returns this node's entry of a member unless that is alive, and nil
-// otherwise. The member needs the entry to refute it or to rejoin.
+// NonAliveChange returns this node's entry for a member, or nil when the member is
+// alive or has no entry. The member needs the entry to refute it or to rejoin.
 func (t *Table) NonAliveChange(id ID) *pb.MemberChange {
 	r := t.records[id]
 	if r == nil || r.State == alive {
@@ -109,8 +109,9 @@
 	return r.Change()
 }
 
-// NonAliveChanges returns the entries of all boots of a node that are not alive. A
-// member that cannot reach the node may have missed that its boot is gone.
+// NonAliveChanges returns the entries of all boots of a node that are not alive. They
+// are for a member whose pings of the node fail, because that member may not have
+// received the change to gone.
 func (t *Table) NonAliveChanges(name string) []*pb.MemberChange {
 	var changes []*pb.MemberChange
 	for _, r := range t.matching(func(r *record) bool { return r.Name == name && r.State != alive }) {
