--- a/policy/ownership/claims.go
+++ b/policy/ownership/claims.go
@@ -40,7 +40,7 @@
 
 // DefaultClaimParams returns the parameters for production use. After a crash of the
 // node that uses a cold replica, the replica stays unused until the grants to that
-// node have expired.
+// node have expired, for up to Lease + Margin + the maximum request time.
 func DefaultClaimParams() ClaimParams {
 	return ClaimParams{Lease: 2 * time.Second, Margin: time.Second, MaxGranters: 8}
 }
@@ -63,9 +63,9 @@
 // Claims is not safe for concurrent use.
 type Claims struct {
 	params ClaimParams
-	// consents holds, by replica, an entry for each node that was ever asked for
-	// consent. Such a node may have granted a claim although its answer was lost, so
-	// its consent is required from then on.
+	// consents holds, by replica, an entry for each node that was asked for consent
+	// and is not confirmed gone. Such a node may have granted a claim although its
+	// answer was lost, so its consent is required from then on.
 	consents map[string]map[Node]consent
 	// grants holds this node's grants by replica. Expired grants are retained,
 	// because they show which claimants need this node's consent.
@@ -91,8 +91,9 @@
 // grant is this node's consent to one claimant.
 type grant struct {
 	expires time.Time
-	// lastRequest is when the last claim arrived, granted or not. This node does not
-	// use the replica for one lease afterwards.
+	// lastRequest is when the last claim arrived, granted or not, except a claim that
+	// arrived after its release. This node does not use the replica for one lease
+	// afterwards.
 	lastRequest time.Time
 	// grantedRound is the highest round of a granted claim, releasedRound that of an
 	// applied release.
@@ -240,8 +241,8 @@
 	}
 }
 
-// Grant reports whether this node grants a claim of a higher-ranked node. inFlight is
-// the number of this node's requests to the replica in flight.
+// Grant reports whether this node grants a claim of a higher-ranked node, and records
+// the grant. inFlight is the number of this node's requests to the replica in flight.
 //
 // Only one claimant at a time has a grant of this node. Otherwise two new nodes that
 // have no record of each other could both obtain all consents that they need.
--- a/policy/ownership/claims_test.go
+++ b/policy/ownership/claims_test.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	cold = "cold-replica"
+	coldReplica = "cold-replica"
 	// maxRequestTime is longer than the margin, so that a request that a faulty release
 	// ignores is still in flight after the margin.
 	maxRequestTime = 2500 * time.Millisecond
@@ -122,7 +122,7 @@
 	}
 	var ranking Ranking
 	list, seen := &ranking.Higher, make(map[string]bool)
-	for _, name := range Rank(cold, names) {
+	for _, name := range Rank(coldReplica, names) {
 		if seen[name] {
 			continue
 		}
@@ -150,7 +150,7 @@
 
 func (c *claimModel) claim(n *modelNode) {
 	round := n.claims.NextRound()
-	c.send(n, n.claims.BeginClaim(c.now, cold, c.ranking(n), maxRequestTime), message{sent: c.now, round: round})
+	c.send(n, n.claims.BeginClaim(c.now, coldReplica, c.ranking(n), maxRequestTime), message{sent: c.now, round: round})
 }
 
 // release releases the consents of a node and sends the messages.
@@ -160,10 +160,10 @@
 		inFlight = 0
 	}
 	if c.releaseBeforeSend {
-		delete(n.claims.lastUse, cold)
+		delete(n.claims.lastUse, coldReplica)
 	}
 	round := n.claims.NextRound()
-	nodes := n.claims.Release(c.now, cold, c.ranking(n), inFlight, maxRequestTime)
+	nodes := n.claims.Release(c.now, coldReplica, c.ranking(n), inFlight, maxRequestTime)
 	c.send(n, nodes, message{sent: c.now, round: round, release: true})
 	c.releases += len(nodes)
 }
@@ -181,11 +181,11 @@
 	if !m.to.running {
 		return
 	}
-	claim := Claim{Replica: cold, Claimant: m.from.Node, Round: m.round}
+	claim := Claim{Replica: coldReplica, Claimant: m.from.Node, Round: m.round}
 	answer := message{from: m.to, to: m.from, sent: m.sent, round: m.round, release: m.release, answer: true}
 	switch {
 	case m.release && m.answer:
-		m.to.claims.RecordRelease(cold, m.from.Node, m.round)
+		m.to.claims.RecordRelease(coldReplica, m.from.Node, m.round)
 		return
 	case m.release:
 		if c.releaseEndsAnyGrant {
@@ -197,13 +197,13 @@
 	case m.answer:
 		sent := m.sent.Add(c.clockLag)
 		if c.acceptLateAnswers {
-			delete(m.to.claims.lastRelease, cold)
+			delete(m.to.claims.lastRelease, coldReplica)
 		}
 		if c.leaseFromAnswer {
 			sent = c.now
 		}
 		if m.granted {
-			m.to.claims.RecordGrant(sent, cold, m.from.Node)
+			m.to.claims.RecordGrant(sent, coldReplica, m.from.Node)
 		}
 		return
 	}
@@ -216,7 +216,7 @@
 // request to the replica in flight. The request is sent gap after the permission and
 // ends duration after the permission.
 func (c *claimModel) use(t *rapid.T, n *modelNode, gap, duration time.Duration) {
-	if n.leaving || !n.claims.MayUse(c.now, cold, c.ranking(n), maxRequestTime) {
+	if n.leaving || !n.claims.MayUse(c.now, coldReplica, c.ranking(n), maxRequestTime) {
 		return
 	}
 	s := requestSpan{from: c.now.Add(gap), to: c.now.Add(duration)}
@@ -313,7 +313,7 @@
 		actions := map[string]func(*rapid.T){
 			"round1":   round,
 			"round2":   round,
-			"ask":      running(func(_ *rapid.T, n *modelNode) { c.claim(n) }),
+			"claim":    running(func(_ *rapid.T, n *modelNode) { c.claim(n) }),
 			"deliver1": deliver,
 			"deliver2": deliver,
 			"deliver3": deliver,
@@ -324,7 +324,7 @@
 			"pass": func(t *rapid.T) {
 				c.now = c.now.Add(time.Duration(rapid.SampledFrom([]int{50, 300, 1000, 2000, 6000}).Draw(t, "ms")) * time.Millisecond)
 			},
-			"misjudge": running(func(t *rapid.T, n *modelNode) {
+			"misdetect": running(func(t *rapid.T, n *modelNode) {
 				other := pick(t)
 				n.dead[other.Node] = !n.dead[other.Node]
 			}),
@@ -357,10 +357,10 @@
 				c.nodes = c.nodes[:len(c.nodes)-1]
 			}),
 		}
-		if rapid.Bool().Draw(t, "nobody comes or goes") {
+		if rapid.Bool().Draw(t, "constant membership") {
 			// With constant membership, sequences of claims, releases and requests
 			// are longer.
-			for _, action := range []string{"misjudge", "die", "leave", "learn1", "learn2", "join"} {
+			for _, action := range []string{"misdetect", "die", "leave", "learn1", "learn2", "join"} {
 				delete(actions, action)
 			}
 		}
--- a/policy/ownership/groups.go
+++ b/policy/ownership/groups.go
@@ -8,7 +8,7 @@
 
 // GroupCount returns the number of groups for the given number of members: the
 // largest power of two with at least size members in each group, and 1 when size is
-// 0. With powers of two, the count changes only when the members double.
+// 0. With powers of two, the count changes only when the members double or halve.
 func GroupCount(members, size int) int {
 	if size <= 0 || members < 2*size {
 		return 1
--- a/policy/ownership/release.go
+++ b/policy/ownership/release.go
@@ -10,8 +10,8 @@
 // The result is empty while such a request is in flight or may still be sent, because
 // a granter may grant another claim as soon as the release arrives. The consents and
 // the answers to earlier claims are void after this call, so a lost release is
-// harmless. Use a separate round for releases. Each later call returns the node again
-// until RecordRelease records its answer.
+// harmless. Use a separate round for releases. Each later call returns a node again
+// until RecordRelease records the answer of that node.
 func (c *Claims) Release(now time.Time, replica string, ranking Ranking, inFlight int, maxRequestTime time.Duration) []Node {
 	if c.higherStopped(now, replica, ranking.Higher, maxRequestTime) || !c.stopped(now, replica, inFlight) {
 		return nil
