--- a/policy/reach/reach.go
+++ b/policy/reach/reach.go
@@ -11,17 +11,17 @@
 const (
 	// unreachableAfter is the time without an answer from any replica of a data centre
 	// after which the data centre may count as unreachable. Single replicas pause for
-	// up to a sixth of a second, but not all replicas of a data centre at once. In a
-	// busy fleet, each data centre answers a node about fifty times a second.
+	// up to a sixth of a second, but not all replicas of a data centre at once.
 	unreachableAfter = 400 * time.Millisecond
 	// minAttempts is the number of unanswered attempts that are required as well, since
 	// an idle node receives no answers either. minSilentReplicas is the number of
 	// replicas that they must concern, so that a single failed replica does not make
-	// its data centre unreachable.
+	// its data centre unreachable. In a data centre with fewer replicas, all must be
+	// concerned.
 	minAttempts       = 4
 	minSilentReplicas = 2
 	// minOtherDataCentres is the number of other data centres below which a node never
-	// counts as isolated. With only one, that one may be the partitioned side.
+	// counts as isolated. A single other data centre may itself be the partitioned side.
 	minOtherDataCentres = 2
 	// probeAfter is the time without an answer after which a data centre is probed while
 	// another one is unreachable.
@@ -104,7 +104,7 @@
 	// callers.
 	Isolated bool
 	// Probe lists the data centres to probe: the unreachable ones and, while there are
-	// any, those without an answer for probeAfter. A request that is refused because
+	// any, those other than the node's own without an answer for probeAfter. A request that is refused because
 	// shards are missing is sent to no replica. Without probes, an idle data centre would
 	// count as reachable for the whole partition.
 	Probe []string
--- a/policy/reach/reach_test.go
+++ b/policy/reach/reach_test.go
@@ -87,7 +87,7 @@
 }
 
 // Guards against a partitioned node that stays ready because an idle data centre counts
-// as reachable: requests refused for missing shards reach none of its replicas.
+// as reachable: a request that is refused for missing shards is sent to no replica.
 func TestIdleDataCentreIsProbedDuringAPartition(t *testing.T) {
 	c := qt.New(t)
 	tr := tracker()
