--- a/policy/registry/registry.go
+++ b/policy/registry/registry.go
@@ -53,7 +53,8 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{entries: make(map[string]*entry)} }
 
-// Put applies a record. Records of an older revision or incarnation are ignored.
+// Put applies a record. A record is ignored if its revision is not higher than the
+// entry's or its incarnation is lower.
 func (t *Table) Put(r Replica, revision uint64) (changed bool) {
 	e := t.entries[r.ID]
 	if e == nil {
--- a/policy/registry/registry_test.go
+++ b/policy/registry/registry_test.go
@@ -15,9 +15,10 @@
 	return registry.Replica{ID: "r1", Incarnation: incarnation, Service: "timing", DataCentre: "a"}
 }
 
-func count(t *registry.Table, names ...string) int {
+// usableCount returns the number of usable replicas when the named data centres are disabled.
+func usableCount(t *registry.Table, dataCentres ...string) int {
 	disabled := make(map[string]bool)
-	for _, name := range names {
+	for _, name := range dataCentres {
 		disabled[name] = true
 	}
 	return len(t.Usable(disabled)["timing"])
@@ -33,22 +34,22 @@
 	draining.Draining = true
 	c.Assert(table.Put(draining, 9), qt.IsTrue)
 	c.Assert(table.Put(replica(1), 7), qt.IsFalse)
-	c.Assert(count(table), qt.Equals, 0)
+	c.Assert(usableCount(table), qt.Equals, 0)
 	c.Assert(table.Put(replica(0), 10), qt.IsFalse, qt.Commentf("record of an earlier incarnation"))
 	c.Assert(table.Put(replica(2), 11), qt.IsTrue)
 	c.Assert(table.Remove(now, "r1", 10, false), qt.IsFalse)
-	c.Assert(count(table), qt.Equals, 1)
+	c.Assert(usableCount(table), qt.Equals, 1)
 	c.Assert(table.Remove(now, "r1", 12, false), qt.IsTrue)
 	c.Assert(table.Put(replica(2), 11), qt.IsFalse)
-	c.Assert(count(table), qt.Equals, 0)
+	c.Assert(usableCount(table), qt.Equals, 0)
 }
 
 func TestDisabledDataCentreHasNoUsableReplica(t *testing.T) {
 	c := qt.New(t)
 	table := registry.NewTable()
 	table.Put(replica(1), 5)
-	c.Assert(count(table, "a"), qt.Equals, 0)
-	c.Assert(count(table, "b"), qt.Equals, 1)
+	c.Assert(usableCount(table, "a"), qt.Equals, 0)
+	c.Assert(usableCount(table, "b"), qt.Equals, 1)
 }
 
 // Guards against a live replica that becomes unusable because its entry vanished during
@@ -64,7 +65,7 @@
 	table.Put(replica(1), 7)
 	c.Assert(table.NextExpiry().IsZero(), qt.IsTrue)
 	table.Remove(now, "r1", 8, true)
-	c.Assert(count(table), qt.Equals, 1)
+	c.Assert(usableCount(table), qt.Equals, 1)
 	c.Assert(table.Expire(now.Add(registry.VanishedGrace)), qt.IsTrue)
-	c.Assert(count(table), qt.Equals, 0)
+	c.Assert(usableCount(table), qt.Equals, 0)
 }
