--- a/policy/retrybudget/retrybudget.go
+++ b/policy/retrybudget/retrybudget.go
@@ -18,7 +18,8 @@
 
 const (
 	// bucketCount is the number of buckets in a window. Extra requests are counted over
-	// one bucket more than the window, and requests over one less. So the bound also
+	// the current bucket and bucketCount before it, which is at least a window. Requests
+	// are counted over one bucket less, which is at most a window. So the bound also
 	// holds in windows that do not start at the start of a bucket.
 	bucketCount = 20
 	// ratioMargin is the fraction of the ratio that nodes use. The remainder covers
@@ -30,7 +31,8 @@
 	// initialSlackShare is the fraction of a node's slack that is available at its start.
 	// The remainder becomes available over the first window.
 	initialSlackShare = 0.6
-	// optionalShare is the fraction of a node's budget that hedges may use. Otherwise
+	// optionalShare is the fraction of a node's budget up to which hedges are allowed,
+	// where hedges and retries count as used. Otherwise
 	// hedges, which only reduce latency, could leave no budget for retries when replicas
 	// lose answers.
 	optionalShare = 0.6
@@ -38,8 +40,9 @@
 
 // Budget is one node's part of the budget for one service. Not safe for concurrent use.
 type Budget struct {
-	bound    Bound
-	started  time.Time
+	bound   Bound
+	started time.Time
+	// last is the number of the current bucket, counted from started.
 	last     int64
 	requests [bucketCount + 1]int
 	extras   [bucketCount + 1]int
@@ -55,8 +58,8 @@
 	b.requests[b.advance(now)]++
 }
 
-// Take reports whether one more extra request may be sent, and counts it. size is the
-// size of the fleet in units of this node. The fleet shares the slack.
+// Take reports whether one more extra request may be sent, and counts it if so. size is
+// the size of the fleet in units of this node's capacity, by which the slack is divided.
 func (b *Budget) Take(now time.Time, size float64) bool { return b.take(now, size, 1) }
 
 // TakeOptional is Take for an optional request, such as a hedge.
@@ -64,8 +67,8 @@
 	return b.take(now, size, optionalShare)
 }
 
-// OptionalUsed returns the used fraction, 0 to 1, of the budget that TakeOptional may
-// use.
+// OptionalUsed returns the fraction, 0 to 1, of the budget for TakeOptional that hedges
+// and retries have used.
 func (b *Budget) OptionalUsed(now time.Time, size float64) float64 {
 	granted := optionalShare * b.allowed(now, b.advance(now), size)
 	if granted < 1 {
