--- a/policy/upstream/baseline_test.go
+++ b/policy/upstream/baseline_test.go
@@ -9,7 +9,7 @@
 	"github.com/carobmill/carobmill/policy/upstream"
 )
 
-// interval is the time between two answers.
+// interval is the time between two requests.
 const interval = 10 * time.Millisecond
 
 // sendMany sends n requests, each answered after took, and returns when the last was sent.
--- a/policy/upstream/goodput_test.go
+++ b/policy/upstream/goodput_test.go
@@ -25,8 +25,8 @@
 // shardCapacity is the number of requests per second that the shard can serve.
 const shardCapacity = shardReplicas * shardSlots * float64(time.Second) / float64(shardServiceTime)
 
-// exchange is a request in flight at a replica.
-type exchange struct {
+// shardRequest is a request in flight at a replica.
+type shardRequest struct {
 	node   int
 	st     *upstream.State
 	handle uint64
@@ -34,15 +34,15 @@
 	ends   time.Duration
 }
 
-// endHeap is a heap of exchanges ordered by their end.
-type endHeap []*exchange
+// endHeap is a heap of requests ordered by their end.
+type endHeap []*shardRequest
 
 func (h endHeap) Len() int           { return len(h) }
 func (h endHeap) Less(i, j int) bool { return h[i].ends < h[j].ends }
 func (h endHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (h *endHeap) Push(x any) { *h = append(*h, x.(*exchange)) }
+func (h *endHeap) Push(x any) { *h = append(*h, x.(*shardRequest)) }
 
 // Pop implements heap.Interface.
 func (h *endHeap) Pop() any {
@@ -112,13 +112,13 @@
 	ends := max(s.at, s.freeAt[replica][slot]) + work
 	s.freeAt[replica][slot] = ends
 	handle := s.balancers[node].RecordSent(now, st, q)
-	heap.Push(&s.inFlight, &exchange{node: node, st: st, handle: handle, sent: s.at, ends: ends})
+	heap.Push(&s.inFlight, &shardRequest{node: node, st: st, handle: handle, sent: s.at, ends: ends})
 }
 
-// end completes the exchanges that have ended and returns how many met the objective.
+// end completes the requests that have ended and returns how many met the objective.
 func (s *overloadedShard) end(now time.Duration) (good int) {
 	for len(s.inFlight) > 0 && s.inFlight[0].ends <= now {
-		e := heap.Pop(&s.inFlight).(*exchange)
+		e := heap.Pop(&s.inFlight).(*shardRequest)
 		took := e.ends - e.sent
 		if took <= shardObjective {
 			good++
--- a/policy/upstream/slowness.go
+++ b/policy/upstream/slowness.go
@@ -8,8 +8,8 @@
 	// slowFrom is the multiple of the baseline latency from which an answer is slow.
 	slowFrom = 2.0
 	// maxSlowness bounds a single sample, and maxFirstSlowness the first slow one. A
-	// single slow answer is more often a pause than a slow replica, and must not cost
-	// more than a replica in another data centre.
+	// single slow answer is more often a pause than a slow replica, and must not by
+	// itself divert requests to another data centre.
 	maxSlowness      = 20
 	maxFirstSlowness = 5
 	minSlowness      = 0.3
--- a/policy/upstream/upstream.go
+++ b/policy/upstream/upstream.go
@@ -21,15 +21,15 @@
 	// from this node adds.
 	queueCost = 0.5
 	// remoteCost is added for a replica in another data centre, because traffic between
-	// data centres is expensive. It is less than the cost of a local replica that has
-	// stalled or has four requests of this node in flight.
+	// data centres is expensive. A remote replica costs as much as a local one with four
+	// requests of this node in flight, and less than a local one that has stalled.
 	remoteCost = 2.0
 	// overloadedFrom is the slowness from which a replica counts as overloaded.
 	overloadedFrom = 3.0
 	// jitter spreads the choices of nodes that have the same observations.
 	jitter = 0.25
-	// coldCost is the minimum slowness assumed for a cold replica.
-	coldCost = 1.6
+	// minColdSlowness is the minimum slowness assumed for a cold replica.
+	minColdSlowness = 1.6
 )
 
 // State holds this node's observations of one replica.
@@ -45,7 +45,7 @@
 	// addressReused is set once another replica answered at the address. The registry
 	// may list the old record as long as the store is unavailable. A further request
 	// would arrive at a replica of another service and use up that service's retry
-	// budget. Only a newer record of the replica clears it.
+	// budget. A record with another incarnation or address clears it.
 	addressReused bool
 	inFlight      []attempt
 	coldRate      rateLimiter
@@ -112,7 +112,8 @@
 	// negative for no bound.
 	ColdPerSecond float64
 	// Optional is set for a request that is not required, such as a hedge. Such a
-	// request goes to no replica that backs off, is cold or has stalled.
+	// request goes to no replica that backs off or has stalled, and to no cold one
+	// unless ColdPerSecond is negative.
 	Optional bool
 }
 
@@ -131,8 +132,9 @@
 }
 
 // Pick returns the replica with the lowest expected cost, or nil if none may be used. If
-// every other replica is excluded, Pick returns the one whose backoff ends first, since a
-// request that may fail is better than none.
+// all others are excluded, Pick returns the replica whose backoff ends first, since a
+// request that may fail is better than none. That replica must have no request of this
+// node in flight, and the request must not be optional.
 func (b *Balancer) Pick(now time.Time, q Request) *State {
 	var best, fallback *State
 	var bestCost float64
@@ -162,8 +164,8 @@
 }
 
 // maxInFlight bounds this node's requests in flight at the replica. An overloaded
-// replica gets half of the bound. Its queue then stays within the latency objective, and
-// the excess requests are refused at once.
+// replica gets half of the bound, rounded up. Its queue then stays within the latency
+// objective, and the excess requests are refused at once.
 func (st *State) maxInFlight(now time.Time, q Request) int {
 	if st.slowness.at(now) < overloadedFrom {
 		return q.MaxInFlightPerReplica
@@ -180,7 +182,7 @@
 func (b *Balancer) cost(now time.Time, st *State, q Request) float64 {
 	slow := st.slowness.at(now)
 	if st.isCold(now) {
-		slow = max(slow, coldCost)
+		slow = max(slow, minColdSlowness)
 	}
 	cost := slow * (1 + queueCost*float64(len(st.inFlight)))
 	for _, a := range st.inFlight {
@@ -195,8 +197,8 @@
 	return cost * (1 + jitter*(b.rng.Float64()-0.5))
 }
 
-// stalled reports whether a request has been in flight for so long that the replica has
-// stalled or ended.
+// stalled reports whether a request has been in flight for more than twice stalledAfter,
+// so that the replica has stalled or ended.
 func (st *State) stalled(now time.Time) bool {
 	for _, a := range st.inFlight {
 		if now.Sub(a.sent) > time.Duration(2*stalledAfter*float64(a.baseline)) {
--- a/policy/upstream/upstream_test.go
+++ b/policy/upstream/upstream_test.go
@@ -41,7 +41,7 @@
 
 // Guards against requests to an address that another service reuses while the store is
 // unavailable. They would use up the retry budget of that service. After one answer from
-// another replica, the replica is unusable until it registers again.
+// another replica, the replica is unusable until it registers a new incarnation.
 func TestReplicaWhoseAddressWasReusedGetsNothingMore(t *testing.T) {
 	c := qt.New(t)
 	balancer, replicas, now := newBalancer(1)
