--- a/cmd/demo/demo.go
+++ b/cmd/demo/demo.go
@@ -16,13 +16,13 @@
 	"github.com/carobmill/carobmill/policy/query"
 )
 
-// askTimeout bounds one question of the demo.
-const askTimeout = 5 * time.Second
+// queryTimeout bounds one query of the demo.
+const queryTimeout = 5 * time.Second
 
-// Options of a demo.
+// Options configures a demo.
 type Options struct {
 	Sheet *pb.Sheet
-	// Once ends the demo after the answers.
+	// Once ends the demo after the answers are printed.
 	Once bool
 	// JSON prints one JSON document instead of text.
 	JSON bool
@@ -30,7 +30,7 @@
 	Log  logrus.FieldLogger
 }
 
-// Answer is one answer of the demo.
+// Answer is the result of one query and its latency.
 type Answer struct {
 	Service       string        `json:"service"`
 	Class         string        `json:"class"`
@@ -42,25 +42,25 @@
 	LatencyMs     float64       `json:"latency_ms"`
 }
 
-// document is the JSON form of a demo.
+// document is the JSON output of a demo.
 type document struct {
 	Fleet   string   `json:"fleet"`
 	Nodes   int      `json:"nodes"`
 	Answers []Answer `json:"answers"`
 }
 
-// ErrIncomplete says that an answer was not complete.
-var ErrIncomplete = errors.New("an answer is not complete")
+// ErrIncomplete is returned when a query has another outcome than complete.
+var ErrIncomplete = errors.New("answer is incomplete")
 
-// Run starts the deployment, asks every service, prints the answers and, unless
-// Once is set, serves until ctx ends.
+// Run starts the deployment, queries every service and prints the answers. Unless
+// Once is set, the deployment then serves until ctx is done.
 func Run(ctx context.Context, o Options) error {
 	d, err := deployment.Start(context.WithoutCancel(ctx), deployment.Options{Sheet: o.Sheet, Log: o.Log})
 	if err != nil {
 		return err
 	}
 	defer d.Close()
-	answers, err := askAll(ctx, d)
+	answers, err := queryAll(ctx, d)
 	if err != nil {
 		return err
 	}
@@ -80,12 +80,12 @@
 	return nil
 }
 
-// askAll asks for each service, at a node of another data centre each time.
-func askAll(ctx context.Context, d *deployment.Deployment) ([]Answer, error) {
+// queryAll queries each service, rotating through the data centres.
+func queryAll(ctx context.Context, d *deployment.Deployment) ([]Answer, error) {
 	var answers []Answer
 	for i, svc := range d.Sheet.GetServices() {
 		addr := d.Nodes[i*d.NodesPerDataCentre%len(d.Nodes)].Settings.GetCallerAddress()
-		answer, err := ask(ctx, addr, svc)
+		answer, err := queryService(ctx, addr, svc)
 		if err != nil {
 			return nil, err
 		}
@@ -94,11 +94,11 @@
 	return answers, nil
 }
 
-func ask(ctx context.Context, addr string, svc *pb.Service) (*Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func queryService(ctx context.Context, addr string, svc *pb.Service) (*Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	class := svc.GetClasses()[0].GetName()
-	began := time.Now()
+	start := time.Now()
 	answer, _, err := deployment.Query(ctx, addr, &caller.QueryRequest{
 		Service: svc.GetName(),
 		Class:   class,
@@ -115,7 +115,7 @@
 		Shards:        len(answer.Results),
 		Snapshot:      answer.Snapshot,
 		ConfigVersion: answer.ConfigVersion,
-		LatencyMs:     float64(time.Since(began).Microseconds()) / 1000,
+		LatencyMs:     float64(time.Since(start).Microseconds()) / 1000,
 	}, nil
 }
 
@@ -124,14 +124,14 @@
 		enc := json.NewEncoder(o.Out)
 		enc.SetIndent("", "  ")
 		err := enc.Encode(document{Fleet: o.Sheet.GetFleet(), Nodes: len(d.Nodes), Answers: answers})
-		return errors.Wrap(err, "output")
+		return errors.Wrap(err, "write output")
 	}
 	_, _ = fmt.Fprintf(o.Out, "fleet %s: %d nodes, %d backend servers\n", o.Sheet.GetFleet(), len(d.Nodes), len(d.Backends))
 	for _, a := range answers {
 		_, err := fmt.Fprintf(o.Out, "%-20s %-14s %-9s coverage %.3f  shards %d  snapshot %d  %.1f ms\n",
 			a.Service, a.Class, a.Outcome, a.Coverage, a.Shards, a.Snapshot, a.LatencyMs)
 		if err != nil {
-			return errors.Wrap(err, "output")
+			return errors.Wrap(err, "write output")
 		}
 	}
 	return nil
@@ -141,7 +141,7 @@
 	svc := o.Sheet.GetServices()[0]
 	s := d.Nodes[0].Settings
 	_, _ = fmt.Fprintf(o.Out, `
-serving; end with Ctrl-C. Try:
+serving; press Ctrl-C to stop. Example requests:
   curl -s http://%[1]s/v1/query -d '{"service":"%[2]s","class":"%[3]s","query":{"text":"demo"},"trace":true}'
   curl -s http://%[1]s/v1/execute -d '{"service":"%[2]s","class":"%[3]s","key":"rider-7","idempotency_key":"fee-1","body":{"fee":20}}'
   curl -s 'http://%[4]s/status?fleet=true'
