--- a/cmd/load/config.go
+++ b/cmd/load/config.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds on a run, so that a slip of the finger is no attack on the fleet.
+// Limits of a run. They prevent a mistyped flag from overloading the fleet.
 const (
 	MaxRate     = 20_000
 	MaxDuration = time.Hour
@@ -18,7 +18,7 @@
 	maxTargets  = 64
 )
 
-// Target is one class of one service and its part in the load.
+// Target is one class of one service and its share of the load.
 type Target struct {
 	Service string `json:"service"`
 	Class   string `json:"class"`
@@ -28,22 +28,24 @@
 
 // Config describes a run.
 type Config struct {
-	// Addresses of the nodes' caller interfaces, taken in turn.
+	// Addresses of the nodes' caller interfaces, used in round-robin order.
 	Addresses []string `json:"addresses"`
 	Targets   []Target `json:"targets"`
-	// Rate is the mean number of requests a second.
+	// Rate is the mean arrival rate in requests per second.
 	Rate     float64       `json:"rate"`
 	Duration time.Duration `json:"duration_ns"`
-	// Deadline is sent with each request; an answer after it is late.
+	// Deadline is sent with each request. A response after the deadline does not
+	// count as on time.
 	Deadline time.Duration `json:"deadline_ns"`
 	// Seed fixes the arrival times and the order of the targets.
 	Seed uint64 `json:"seed"`
-	// InFlight bounds the requests that wait for an answer. Requests that would
-	// exceed it are not sent, and are reported as such.
+	// InFlight limits the requests in flight. Requests above the limit are not sent
+	// and are reported as unsent.
 	InFlight int `json:"in_flight"`
 }
 
-// Check returns the first fault, naming the flag that sets the value.
+// Check returns an error for the first invalid value. The error names the flag
+// that sets the value.
 func (c Config) Check() error {
 	if len(c.Addresses) == 0 {
 		return errors.New("flag -addr is required")
@@ -54,14 +56,14 @@
 		}
 	}
 	if len(c.Targets) == 0 || len(c.Targets) > maxTargets {
-		return errors.Errorf("flag -mix: %d targets, allowed are 1 to %d", len(c.Targets), maxTargets)
+		return errors.Errorf("flag -mix: got %d targets, allowed: 1 to %d", len(c.Targets), maxTargets)
 	}
 	for _, check := range []struct {
 		flag    string
 		ok      bool
 		allowed string
 	}{
-		{"-rate", c.Rate > 0 && c.Rate <= MaxRate, "more than 0 and at most " + strconv.Itoa(MaxRate) + " a second"},
+		{"-rate", c.Rate > 0 && c.Rate <= MaxRate, "more than 0 and at most " + strconv.Itoa(MaxRate) + " per second"},
 		{"-duration", c.Duration > 0 && c.Duration <= MaxDuration, "more than 0 and at most " + MaxDuration.String()},
 		{"-deadline", c.Deadline >= time.Millisecond && c.Deadline <= MaxDeadline, "1ms to " + MaxDeadline.String()},
 		{"-in-flight", c.InFlight > 0 && c.InFlight <= MaxInFlight, "1 to " + strconv.Itoa(MaxInFlight)},
@@ -73,7 +75,8 @@
 	return nil
 }
 
-// ParseMix reads targets of the form SERVICE/CLASS[=SHARE], separated by commas.
+// ParseMix parses a comma-separated list of targets of the form
+// SERVICE/CLASS[=SHARE]. The share defaults to 1.
 func ParseMix(s string) ([]Target, error) {
 	var targets []Target
 	for _, item := range strings.Split(s, ",") {
--- a/cmd/load/doc.go
+++ b/cmd/load/doc.go
@@ -1,7 +1,8 @@
 // Package load is an open-loop load generator for the caller interface.
 //
-// Requests are sent at the times of a Poisson process, whether or not earlier
-// ones were answered, and each latency counts from the intended send time. A
-// closed loop would send less while the fleet is slow, and so leave out of the
-// report just the requests that callers would have waited for.
+// Requests are sent at the arrival times of a Poisson process, whether or not
+// earlier requests have completed. Latency is measured from the intended send
+// time. A closed-loop generator sends fewer requests while the fleet is slow, so
+// its report omits the latency of the requests that it did not send (coordinated
+// omission).
 package load
--- a/cmd/load/load_test.go
+++ b/cmd/load/load_test.go
@@ -32,46 +32,44 @@
 
 func TestArrivalsArePoissonAndDeterministic(t *testing.T) {
 	c := qt.New(t)
-	var gaps, squares, first float64
-	var before time.Duration
+	var sum, sumOfSquares, first float64
+	var previous time.Duration
 	n := 0
-	one, two := newSchedule(testConfig()), newSchedule(testConfig())
+	s1, s2 := newSchedule(testConfig()), newSchedule(testConfig())
 	for {
-		a, ok := one.next()
-		b, _ := two.next()
+		a, ok := s1.next()
+		b, _ := s2.next()
 		c.Assert(a, qt.Equals, b)
 		if !ok {
 			break
 		}
-		gap := (a.at - before).Seconds()
-		before = a.at
-		gaps += gap
-		squares += gap * gap
+		gap := (a.at - previous).Seconds()
+		previous = a.at
+		sum += gap
+		sumOfSquares += gap * gap
 		if a.target == 0 {
 			first++
 		}
 		n++
 	}
-	mean := gaps / float64(n)
-	deviation := math.Sqrt(squares/float64(n) - mean*mean)
-	// Of exponential gaps the mean and the standard deviation are the same.
-	c.Assert(math.Abs(mean*500-1) < 0.02, qt.IsTrue, qt.Commentf("mean gap %v", mean))
-	c.Assert(math.Abs(deviation/mean-1) < 0.03, qt.IsTrue, qt.Commentf("deviation %v", deviation))
+	mean := sum / float64(n)
+	deviation := math.Sqrt(sumOfSquares/float64(n) - mean*mean)
+	// An exponential distribution has equal mean and standard deviation.
+	c.Assert(math.Abs(mean*500-1) < 0.02, qt.IsTrue, qt.Commentf("mean gap %v s", mean))
+	c.Assert(math.Abs(deviation/mean-1) < 0.03, qt.IsTrue, qt.Commentf("standard deviation %v s", deviation))
 	c.Assert(math.Abs(first/float64(n)-0.75) < 0.01, qt.IsTrue)
 }
 
 func TestLatencyIncludesWaitFromIntendedSendTime(t *testing.T) {
-	// The server answers nothing for 300 ms and then everything at once. Callers
-	// who came during the stall waited for the rest of it, so the stall must show
-	// in the report's latencies; requests above the bound count as not sent, and
-	// nothing is lost from the sum.
+	// The server stalls for 300 ms. Guards against latencies that omit the wait, and
+	// against requests above the in-flight limit missing from the totals.
 	c := qt.New(t)
 	const stall = 300 * time.Millisecond
-	begin := time.Now()
-	var asked atomic.Int64
+	start := time.Now()
+	var received atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		n := asked.Add(1)
-		time.Sleep(time.Until(begin.Add(stall)))
+		n := received.Add(1)
+		time.Sleep(time.Until(start.Add(stall)))
 		switch n % 4 {
 		case 0:
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -107,10 +105,10 @@
 	c.Assert(unsent > 0, qt.IsTrue)
 	c.Assert(refused, qt.Equals, report.Targets[0].Reasons["overload"]+report.Targets[1].Reasons["overload"])
 	c.Assert(refused > 0, qt.IsTrue)
-	checkForms(c, report)
+	checkOutputs(c, report)
 }
 
-func checkForms(c *qt.C, report *Report) {
+func checkOutputs(c *qt.C, report *Report) {
 	var text, image bytes.Buffer
 	report.Write(&text)
 	c.Check(text.String(), qt.Contains, "timing/checkpoint")
@@ -129,7 +127,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(report.Answered(), qt.Equals, int64(0))
 	c.Assert(report.Targets[0].Reasons["transport"] > 0, qt.IsTrue)
-	checkForms(c, report)
+	checkOutputs(c, report)
 }
 
 func TestInvalidInputErrorNamesFlag(t *testing.T) {
--- a/cmd/load/plot.go
+++ b/cmd/load/plot.go
@@ -23,8 +23,8 @@
 	barWidth   = 0.4 * vg.Inch
 )
 
-// Plot writes a PNG with three panels: latency over the run's time, latency by
-// quantile, and the outcomes of each class.
+// Plot writes a PNG image with three panels: latency over time, latency by
+// quantile, and the outcomes of each target.
 func (r *Report) Plot(w io.Writer) error {
 	overTime, err := r.plotOverTime()
 	if err != nil {
@@ -53,11 +53,11 @@
 	return t.Service + "/" + t.Class
 }
 
-// logScale sets a logarithmic latency axis. Points must be above 0.
+// logScale sets a logarithmic latency axis. All latencies must be above 0.
 func logScale(p *plot.Plot) {
 	p.Y.Scale = plot.LogScale{}
 	p.Y.Tick.Marker = plot.TickerFunc(latencyTicks)
-	// Room for the legend above the lines.
+	// Leaves space for the legend above the lines.
 	p.Y.Max *= 3
 	p.Y.Label.Text = "latency, ms"
 	p.Legend.Top = true
@@ -65,7 +65,7 @@
 	p.Add(plotter.NewGrid())
 }
 
-// latencyTicks marks 1, 2 and 5 of each decade.
+// latencyTicks places ticks at 1, 2 and 5 in each decade.
 func latencyTicks(low, high float64) []plot.Tick {
 	var ticks []plot.Tick
 	for decade := math.Pow(10, math.Floor(math.Log10(low))); decade <= high; decade *= 10 {
@@ -78,7 +78,7 @@
 	return ticks
 }
 
-// timeTicks marks tenths of the run.
+// timeTicks places ticks at each tenth of the run.
 func timeTicks(low, high float64) []plot.Tick {
 	const marks = 10
 	var ticks []plot.Tick
@@ -91,10 +91,10 @@
 
 func (r *Report) plotOverTime() (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("Latency from the intended send time, %.0f requests a second", r.Offered)
+	p.Title.Text = fmt.Sprintf("Latency from the intended send time, %.0f requests per second", r.Offered)
 	p.X.Label.Text = "time, s"
 	p.X.Tick.Marker = plot.TickerFunc(timeTicks)
-	step := r.Config.Duration.Seconds() / slices
+	step := r.Config.Duration.Seconds() / timeSlices
 	drawn := false
 	for i, t := range r.Targets {
 		for j, percent := range []float64{50, 99} {
@@ -123,7 +123,7 @@
 func (r *Report) plotByQuantile() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "Latency by quantile"
-	p.X.Label.Text = "share of answers"
+	p.X.Label.Text = "share of responses"
 	drawn := false
 	for i, t := range r.Targets {
 		total := t.record.latency.TotalCount()
@@ -131,7 +131,7 @@
 			continue
 		}
 		drawn = true
-		// Beyond one answer in total the quantile is the maximum.
+		// Quantiles above 1 - 1/total equal the maximum.
 		last := math.Log10(float64(total))
 		var points plotter.XYs
 		for nines := 0.0; nines <= last; nines += 0.05 {
--- a/cmd/load/record.go
+++ b/cmd/load/record.go
@@ -7,15 +7,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Histograms hold microseconds up to a minute.
+// Parameters of the latency histograms, which record microseconds.
 const (
 	maxLatency        = time.Minute
 	significantDigits = 2
-	// slices of the run's time, for the plot.
-	slices = 60
+	// timeSlices is the number of equal intervals of a run, each with its own
+	// histogram.
+	timeSlices = 60
 )
 
-// outcome of one request as the generator saw it.
+// outcome is the result of one request as seen by the generator.
 type outcome int
 
 const (
@@ -23,16 +24,16 @@
 	partial
 	refused
 	unknown
-	// failed requests got no answer in the caller interface's form.
+	// failed: transport error, or a response without an outcome.
 	failed
-	// unsent requests would have exceeded Config.InFlight.
+	// unsent: the request was not sent because Config.InFlight was reached.
 	unsent
 	outcomeCount
 )
 
 var outcomeNames = [outcomeCount]string{"complete", "partial", "refused", "unknown", "failed", "unsent"}
 
-// sample is what is known about one request.
+// sample is the measurement of one request.
 type sample struct {
 	arrival  arrival
 	outcome  outcome
@@ -41,12 +42,12 @@
 	reason   string
 }
 
-// answered reports whether the request got data, in full or in part.
+// answered reports whether the response carried results, complete or partial.
 func (s sample) answered() bool {
 	return s.outcome == complete || s.outcome == partial
 }
 
-// recorder collects samples. Safe for concurrent use.
+// recorder aggregates samples by target. Safe for concurrent use.
 type recorder struct {
 	config Config
 
@@ -54,19 +55,20 @@
 	mu       sync.Mutex
 	targets  []*record
 	inFlight int
-	// recent holds the latencies since the live line was last drawn.
+	// recent holds the latencies since the last progress report.
 	recent *hdrhistogram.Histogram
 }
 
-// record is what was collected for one target.
+// record aggregates the samples of one target.
 type record struct {
 	outcomes [outcomeCount]int64
 	reasons  map[string]int64
 	latency  *hdrhistogram.Histogram
-	slices   [slices]*hdrhistogram.Histogram
+	slices   [timeSlices]*hdrhistogram.Histogram
 	onTime   int64
-	coverage float64
-	lowest   float64
+	// coverageSum and minCoverage cover complete and partial outcomes only.
+	coverageSum float64
+	minCoverage float64
 }
 
 func newHistogram() *hdrhistogram.Histogram {
@@ -76,7 +78,7 @@
 func newRecorder(c Config) *recorder {
 	r := &recorder{config: c, recent: newHistogram()}
 	for range c.Targets {
-		rec := &record{reasons: make(map[string]int64), latency: newHistogram(), lowest: 1}
+		rec := &record{reasons: make(map[string]int64), latency: newHistogram(), minCoverage: 1}
 		for i := range rec.slices {
 			rec.slices[i] = newHistogram()
 		}
@@ -85,7 +87,8 @@
 	return r
 }
 
-// begin counts a request in; false means that too many wait already.
+// begin counts a request as in flight. It returns false when the in-flight limit
+// is reached.
 func (r *recorder) begin() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,13 +122,13 @@
 		return
 	}
 	micros := min(max(s.latency, time.Microsecond), maxLatency).Microseconds()
-	slice := int(int64(slices) * int64(s.arrival.at) / int64(r.config.Duration))
+	slice := int(int64(timeSlices) * int64(s.arrival.at) / int64(r.config.Duration))
 	for _, h := range []*hdrhistogram.Histogram{rec.latency, rec.slices[slice], r.recent} {
-		// In range, so that recording cannot fail.
+		// The value is clamped to the histogram's range, so this cannot fail.
 		_ = h.RecordValue(micros)
 	}
-	rec.coverage += s.coverage
-	rec.lowest = min(rec.lowest, s.coverage)
+	rec.coverageSum += s.coverage
+	rec.minCoverage = min(rec.minCoverage, s.coverage)
 	if s.outcome == complete && s.latency <= r.config.Deadline {
 		rec.onTime++
 	}
--- a/cmd/load/report.go
+++ b/cmd/load/report.go
@@ -11,23 +11,24 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Quantiles of a report, in percent.
+// reportQuantiles are the quantiles of a report, in percent.
 var reportQuantiles = []float64{50, 90, 99, 99.9, 100}
 
-// Progress is the state of a run, for the live line.
+// Progress is the state of a run in progress.
 type Progress struct {
 	Elapsed, Duration time.Duration
 	Sent, InFlight    int64
-	// Outcomes so far by name.
+	// Outcomes counts the requests so far by outcome.
 	Outcomes map[string]int64
-	// P50 and P99 since the last call; 0 when nothing was answered.
+	// P50 and P99 are latencies since the last progress report, or 0 without
+	// complete or partial responses.
 	P50, P99 time.Duration
 }
 
-// String returns the live line.
+// String formats the progress as one line.
 func (p Progress) String() string {
 	line := fmt.Sprintf("%3.0fs of %.0fs  sent %d  in flight %d  p50 %s  p99 %s",
-		p.Elapsed.Seconds(), p.Duration.Seconds(), p.Sent, p.InFlight, millis(p.P50), millis(p.P99))
+		p.Elapsed.Seconds(), p.Duration.Seconds(), p.Sent, p.InFlight, formatMillis(p.P50), formatMillis(p.P99))
 	for _, name := range outcomeNames {
 		if n := p.Outcomes[name]; n > 0 {
 			line += fmt.Sprintf("  %s %d", name, n)
@@ -58,43 +59,44 @@
 	return p
 }
 
-// Report is the outcome of a run.
+// Report is the result of a run.
 type Report struct {
 	Config Config `json:"config"`
-	// Took is the time in which the load was sent.
+	// Took is the time during which requests were sent.
 	Took time.Duration `json:"took_ns"`
-	// Offered is the rate of arrivals a second that the schedule gave.
+	// Offered is the rate of scheduled arrivals per second.
 	Offered float64        `json:"offered_per_second"`
 	Targets []TargetReport `json:"targets"`
 }
 
-// TargetReport is the outcome for one class of one service.
+// TargetReport is the result for one class of one service.
 type TargetReport struct {
 	Service string `json:"service"`
 	Class   string `json:"class"`
-	// Requests that the schedule gave, sent or not.
+	// Requests is the number of scheduled requests, sent or not.
 	Requests int64            `json:"requests"`
 	Outcomes map[string]int64 `json:"outcomes"`
 	Reasons  map[string]int64 `json:"reasons,omitempty"`
-	// FullAndOnTime is the share of all requests answered in full before the
-	// deadline.
+	// FullAndOnTime is the share of all requests with a complete response within
+	// the deadline.
 	FullAndOnTime float64 `json:"full_and_on_time"`
-	// Coverage of complete and partial answers; 0 when there was none.
+	// MeanCoverage and LowestCoverage cover complete and partial responses; they are
+	// 0 when there are none.
 	MeanCoverage   float64 `json:"mean_coverage"`
 	LowestCoverage float64 `json:"lowest_coverage"`
-	// Latency of complete and partial answers from the intended send time.
+	// Latency of complete and partial responses, from the intended send time.
 	Latency []Quantile `json:"latency"`
 
 	record *record
 }
 
-// Quantile is a latency that Percent of the answers did not exceed.
+// Quantile is the latency that Percent of the responses do not exceed.
 type Quantile struct {
 	Percent float64 `json:"percent"`
 	Ms      float64 `json:"ms"`
 }
 
-// Answered returns the number of complete and partial answers of all targets.
+// Answered returns the number of complete and partial responses of all targets.
 func (r *Report) Answered() int64 {
 	var n int64
 	for _, t := range r.Targets {
@@ -136,8 +138,8 @@
 	}
 	answered := rec.outcomes[complete] + rec.outcomes[partial]
 	if answered > 0 {
-		t.MeanCoverage = rec.coverage / float64(answered)
-		t.LowestCoverage = rec.lowest
+		t.MeanCoverage = rec.coverageSum / float64(answered)
+		t.LowestCoverage = rec.minCoverage
 	}
 	for _, q := range reportQuantiles {
 		t.Latency = append(t.Latency, Quantile{Percent: q, Ms: quantile(rec.latency, q).Seconds() * 1e3})
@@ -152,13 +154,13 @@
 	return time.Duration(h.ValueAtQuantile(percent)) * time.Microsecond
 }
 
-func millis(d time.Duration) string {
+func formatMillis(d time.Duration) string {
 	return fmt.Sprintf("%.1fms", d.Seconds()*1e3)
 }
 
-// Write prints the report as text.
+// Write writes the report as text.
 func (r *Report) Write(w io.Writer) {
-	_, _ = fmt.Fprintf(w, "%.1f requests a second offered for %.1f s, deadline %s, seed %d\n\n",
+	_, _ = fmt.Fprintf(w, "%.1f requests per second offered for %.1f s, deadline %s, seed %d\n\n",
 		r.Offered, r.Took.Seconds(), r.Config.Deadline, r.Config.Seed)
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprint(table, "service/class\trequests\t")
@@ -176,9 +178,9 @@
 	_ = table.Flush()
 	_, _ = fmt.Fprintln(w)
 	for _, t := range r.Targets {
-		_, _ = fmt.Fprintf(w, "%s/%s: %s\n", t.Service, t.Class, counts(t.Outcomes))
+		_, _ = fmt.Fprintf(w, "%s/%s: %s\n", t.Service, t.Class, formatCounts(t.Outcomes))
 		if len(t.Reasons) > 0 {
-			_, _ = fmt.Fprintf(w, "  reasons: %s\n", counts(t.Reasons))
+			_, _ = fmt.Fprintf(w, "  reasons: %s\n", formatCounts(t.Reasons))
 		}
 	}
 }
@@ -190,7 +192,7 @@
 	return fmt.Sprintf("p%g", percent)
 }
 
-func counts(m map[string]int64) string {
+func formatCounts(m map[string]int64) string {
 	names := make([]string, 0, len(m))
 	for name := range m {
 		names = append(names, name)
--- a/cmd/load/run.go
+++ b/cmd/load/run.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// answerGrace is how long after its deadline an answer is waited for.
-	answerGrace = 2 * time.Second
-	// maxAnswer bounds the part of an answer that is read.
-	maxAnswer = 8 << 20
-	liveEvery = time.Second
+	// responseGrace is added to the deadline of a request to form its timeout, so
+	// that late responses are recorded.
+	responseGrace = 2 * time.Second
+	// maxResponseBytes limits how much of a response body is read.
+	maxResponseBytes = 8 << 20
+	progressInterval = time.Second
 )
 
-// queryRequest and answer are the generator's own view of the caller interface.
+// queryRequest is the request body of a query in the caller interface.
 type queryRequest struct {
 	Service    string     `json:"service"`
 	Class      string     `json:"class"`
@@ -28,12 +29,13 @@
 	DeadlineMs int64      `json:"deadline_ms"`
 }
 
-// queryInput differs for each request, so that nothing is answered from a cache.
+// queryInput differs for each request, which prevents cache hits.
 type queryInput struct {
 	LoadRequest int `json:"load_request"`
 }
 
-type answer struct {
+// queryResponse holds the fields of a response that the generator reads.
+type queryResponse struct {
 	Outcome  string  `json:"outcome"`
 	Coverage float64 `json:"coverage"`
 	Reason   string  `json:"reason"`
@@ -42,10 +44,11 @@
 	} `json:"error"`
 }
 
-// Run sends the load and returns the report. It ends by itself after the
-// duration, the deadline and a grace, or when ctx ends; the report then covers
-// what was sent so far. live, if set, is called every second.
-func Run(ctx context.Context, c Config, live func(Progress)) (*Report, error) {
+// Run sends the load and returns the report. Sending stops after the configured
+// duration or when ctx is done, and the report covers the requests scheduled up to
+// then. Run returns when no request is in flight, which takes at most the deadline
+// and a grace period longer. onProgress, if not nil, is called every second.
+func Run(ctx context.Context, c Config, onProgress func(Progress)) (*Report, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
@@ -53,7 +56,7 @@
 	defer transport.CloseIdleConnections()
 	rec := newRecorder(c)
 	start := time.Now()
-	stop := watch(rec, start, live)
+	stop := reportProgress(rec, start, onProgress)
 	var wg sync.WaitGroup
 	s := newSchedule(c)
 	for n := 0; ; n++ {
@@ -73,8 +76,9 @@
 	return rec.report(took), nil
 }
 
-// sleepUntil returns false when ctx ends first. Past times return at once: the
-// generator catches up, and the delay counts as latency.
+// sleepUntil waits until t and returns false when ctx is done first. It returns at
+// once when t has passed: the generator then sends the overdue requests without a
+// pause, and their delay counts as latency.
 func sleepUntil(ctx context.Context, t time.Time) bool {
 	wait := time.Until(t)
 	if wait <= 0 {
@@ -92,9 +96,9 @@
 
 func send(ctx context.Context, transport *http.Transport, c Config, start time.Time, a arrival, n int) sample {
 	result := sample{arrival: a, outcome: failed}
-	ctx, cancel := context.WithTimeout(ctx, c.Deadline+answerGrace)
+	ctx, cancel := context.WithTimeout(ctx, c.Deadline+responseGrace)
 	defer cancel()
-	got, err := ask(ctx, transport, c, a, n)
+	got, err := query(ctx, transport, c, a, n)
 	result.latency = time.Since(start.Add(a.at))
 	if err != nil {
 		result.reason = "transport"
@@ -112,7 +116,8 @@
 	return result
 }
 
-func ask(ctx context.Context, transport *http.Transport, c Config, a arrival, n int) (*answer, error) {
+// query sends request number n and decodes its response.
+func query(ctx context.Context, transport *http.Transport, c Config, a arrival, n int) (*queryResponse, error) {
 	target := c.Targets[a.target]
 	body, err := json.Marshal(queryRequest{
 		Service:    target.Service,
@@ -126,39 +131,40 @@
 	url := "http://" + c.Addresses[n%len(c.Addresses)] + "/v1/query"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "make request")
+		return nil, errors.Wrap(err, "create query request")
 	}
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
-		return nil, errors.Wrap(err, "send")
+		return nil, errors.Wrap(err, "send query")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return nil, errors.Wrap(err, "read answer")
+		return nil, errors.Wrap(err, "read response")
 	}
-	var got answer
+	var got queryResponse
 	if err := json.Unmarshal(data, &got); err != nil {
-		return nil, errors.Wrap(err, "decode answer")
+		return nil, errors.Wrap(err, "decode response")
 	}
 	return &got, nil
 }
 
-// watch calls live every second until the returned function is called.
-func watch(rec *recorder, start time.Time, live func(Progress)) (stop func()) {
-	if live == nil {
+// reportProgress calls onProgress every second until the returned function is
+// called.
+func reportProgress(rec *recorder, start time.Time, onProgress func(Progress)) (stop func()) {
+	if onProgress == nil {
 		return func() {}
 	}
 	quit, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
-		ticker := time.NewTicker(liveEvery)
+		ticker := time.NewTicker(progressInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-ticker.C:
-				live(rec.progress(time.Since(start)))
+				onProgress(rec.progress(time.Since(start)))
 			case <-quit:
 				return
 			}
--- a/cmd/load/schedule.go
+++ b/cmd/load/schedule.go
@@ -5,24 +5,27 @@
 	"time"
 )
 
-// seedStream separates the schedule's random numbers from other uses of a seed.
+// seedStream separates the random numbers of the schedule from other uses of the
+// same seed.
 const seedStream = 0x6c6f6164
 
-// schedule yields the arrivals of a Poisson process. The same seed gives the
-// same arrivals, however fast they are answered.
+// schedule generates the arrivals of a Poisson process. The arrivals depend only
+// on the seed and the configuration, not on response times.
 type schedule struct {
 	rng     *rand.Rand
 	rate    float64
 	end     time.Duration
 	at      time.Duration
 	targets []Target
-	total   float64
+	// totalShare is the sum of the targets' shares.
+	totalShare float64
 }
 
-// arrival is one request to send.
+// arrival is one scheduled request.
 type arrival struct {
-	// at is the intended send time after the start of the run.
-	at     time.Duration
+	// at is the intended send time, relative to the start of the run.
+	at time.Duration
+	// target is an index into Config.Targets.
 	target int
 }
 
@@ -34,21 +37,21 @@
 		targets: c.Targets,
 	}
 	for _, t := range c.Targets {
-		s.total += t.Share
+		s.totalShare += t.Share
 	}
 	return s
 }
 
-// next returns the next arrival, or false after the end of the run.
+// next returns the next arrival. It returns false after the end of the run.
 func (s *schedule) next() (arrival, bool) {
 	s.at += time.Duration(s.rng.ExpFloat64() / s.rate * float64(time.Second))
 	if s.at >= s.end {
 		return arrival{}, false
 	}
-	left := s.rng.Float64() * s.total
+	remaining := s.rng.Float64() * s.totalShare
 	for i, t := range s.targets {
-		left -= t.Share
-		if left < 0 {
+		remaining -= t.Share
+		if remaining < 0 {
 			return arrival{at: s.at, target: i}, true
 		}
 	}
