--- a/standin/authority/authority.go
+++ b/standin/authority/authority.go
@@ -1,6 +1,6 @@
-// Package authority issues certificates for mutual TLS between nodes, in place of
-// the operators' own authority. Its files are what settings and the operators'
-// tool name.
+// Package authority is a test certificate authority for mutual TLS between nodes.
+// It stands in for the operators' own authority and writes the files that the node
+// settings and the operator tool refer to.
 package authority
 
 import (
@@ -21,8 +21,9 @@
 )
 
 const (
-	// lifetime of certificates on both sides of now.
-	lifetime = time.Hour
+	// validityMargin is how long certificates are valid before and after the time of
+	// issue.
+	validityMargin = time.Hour
 
 	certificateFile = "cert.pem"
 	keyFile         = "key.pem"
@@ -37,11 +38,11 @@
 	key  *ecdsa.PrivateKey
 }
 
-// New returns an authority with a key of its own.
+// New returns an authority with a new key and a self-signed certificate.
 func New() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "authority")
+		return nil, errors.Wrap(err, "generate authority key")
 	}
 	template := certificate(1, "authority")
 	template.IsCA = true
@@ -49,16 +50,16 @@
 	template.KeyUsage = x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
-		return nil, errors.Wrap(err, "authority")
+		return nil, errors.Wrap(err, "create authority certificate")
 	}
 	cert, err := x509.ParseCertificate(der)
 	if err != nil {
-		return nil, errors.Wrap(err, "authority")
+		return nil, errors.Wrap(err, "parse authority certificate")
 	}
 	return &Authority{der: der, cert: cert, key: key}, nil
 }
 
-// Files names the files that Issue writes into a folder.
+// Files returns the paths of the files that Issue writes into a folder.
 func Files(folder string) *pb.Tls {
 	return &pb.Tls{
 		CertificateFile: filepath.Join(folder, certificateFile),
@@ -67,23 +68,23 @@
 	}
 }
 
-// Issue writes a certificate, its key and the authority's certificate into a
-// folder, over what is there, and returns the files.
+// Issue writes a new node certificate, its key and the authority's certificate into
+// a folder, overwriting existing files, and returns their paths.
 func (a *Authority) Issue(folder string) (*pb.Tls, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "issue")
+		return nil, errors.Wrap(err, "generate node key")
 	}
 	template := certificate(2, "node")
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}
 	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, key.Public(), a.key)
 	if err != nil {
-		return nil, errors.Wrap(err, "issue")
+		return nil, errors.Wrap(err, "create node certificate")
 	}
 	keyDER, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		return nil, errors.Wrap(err, "issue")
+		return nil, errors.Wrap(err, "encode node key")
 	}
 	files := Files(folder)
 	for _, f := range []struct {
@@ -96,7 +97,7 @@
 	} {
 		block := pem.EncodeToMemory(&pem.Block{Type: f.kind, Bytes: f.der})
 		if err := os.WriteFile(f.name, block, fileMode); err != nil {
-			return nil, errors.Wrap(err, "issue")
+			return nil, errors.Wrap(err, "write certificate files")
 		}
 	}
 	return files, nil
@@ -107,7 +108,7 @@
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(serial),
 		Subject:      pkix.Name{CommonName: name},
-		NotBefore:    now.Add(-lifetime),
-		NotAfter:     now.Add(lifetime),
+		NotBefore:    now.Add(-validityMargin),
+		NotAfter:     now.Add(validityMargin),
 	}
 }
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,3 +1,4 @@
-// Package standin is the parent of the stand-ins for what a deployment finds in
-// place: the platform, backend servers and the network. They are test scaffolding.
+// Package standin groups test stand-ins for the external dependencies of a
+// deployment: the platform, backend servers, the network and a certificate
+// authority.
 package standin
