--- a/standin/backend/batch.go
+++ b/standin/backend/batch.go
@@ -22,18 +22,18 @@
 	headerTimeout = "Carobmill-Timeout-Us"
 )
 
-// serveBatch runs each item as a single call would be, so that slots, cold
-// starts, refusals and faults count the same, and sends each reply when it is
-// ready.
+// serveBatch serves each item like a single query, so that slots, cold starts,
+// rejections and faults apply to items in the same way. It sends each reply as soon
+// as the item completes.
 func (s *Server) serveBatch(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	unknown := s.noBatches
+	disabled := s.noBatches
 	s.mu.Unlock()
-	if unknown {
+	if disabled {
 		http.NotFound(w, r)
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, "body", http.StatusBadRequest)
 		return
@@ -44,33 +44,34 @@
 		return
 	}
 	s.countBatch(len(items))
-	s.stateHeaders(w.Header())
+	s.setStateHeaders(w.Header())
 	w.Header().Set("Content-Type", "application/vnd.google.protobuf; encoding=delimited")
 	out := &batchWriter{server: s, out: w, ready: make(chan struct{}, 1)}
-	var running, flusher sync.WaitGroup
+	var workers, flusher sync.WaitGroup
 	flusher.Go(func() { out.flushReady(http.NewResponseController(w).Flush) })
 	for _, item := range items {
-		running.Go(func() { out.serve(r, item) })
+		workers.Go(func() { out.serve(r, item) })
 	}
-	running.Wait()
+	workers.Wait()
 	close(out.ready)
 	flusher.Wait()
-	if out.broken {
+	if out.aborted {
 		panic(http.ErrAbortHandler)
 	}
 }
 
+// parseBatch decodes the length-delimited items of a batch.
 func parseBatch(body []byte) ([]*pb.BatchItem, error) {
 	var items []*pb.BatchItem
-	lines := bytes.NewReader(body)
+	reader := bytes.NewReader(body)
 	for {
 		item := new(pb.BatchItem)
-		err := protodelim.UnmarshalFrom(lines, item)
+		err := protodelim.UnmarshalFrom(reader, item)
 		if errors.Is(err, io.EOF) {
 			return items, nil
 		}
 		if err != nil {
-			return nil, errors.Wrap(err, "item of a batch")
+			return nil, errors.Wrap(err, "decode batch item")
 		}
 		items = append(items, item)
 	}
@@ -83,19 +84,20 @@
 	s.counts.MaxBatch = max(s.counts.MaxBatch, items)
 }
 
-// batchWriter sends the items' replies.
+// batchWriter writes the replies to the items of one batch.
 type batchWriter struct {
 	server *Server
-	// ready is signalled when there is something to flush.
+	// ready is signalled after a reply is written, and closed after the last item.
 	ready chan struct{}
 
 	// mu guards the fields below.
-	mu     sync.Mutex
-	out    io.Writer
-	broken bool
+	mu  sync.Mutex
+	out io.Writer
+	// aborted is set when a fault resets the connection of an item.
+	aborted bool
 }
 
-// serve runs one item as a request of its own, until its timeout.
+// serve runs one item as a separate request with the item's timeout.
 func (b *batchWriter) serve(r *http.Request, item *pb.BatchItem) {
 	ctx := r.Context()
 	if item.GetTimeoutUs() > 0 {
@@ -103,41 +105,42 @@
 		ctx, cancel = context.WithTimeout(ctx, time.Duration(item.GetTimeoutUs())*time.Microsecond)
 		defer cancel()
 	}
-	single := r.Clone(ctx)
-	single.URL.Path = pathQuery
-	single.Body = io.NopCloser(bytes.NewReader(item.GetBody()))
-	single.Header.Set(headerAttempt, item.GetAttempt())
-	single.Header.Set(headerShard, item.GetShard())
-	single.Header.Set(headerClass, item.GetClass())
-	single.Header.Set(headerGeneration, strconv.FormatUint(item.GetGeneration(), 10))
-	single.Header.Set(headerSnapshot, strconv.FormatUint(item.GetSnapshot(), 10))
+	request := r.Clone(ctx)
+	request.URL.Path = pathQuery
+	request.Body = io.NopCloser(bytes.NewReader(item.GetBody()))
+	request.Header.Set(headerAttempt, item.GetAttempt())
+	request.Header.Set(headerShard, item.GetShard())
+	request.Header.Set(headerClass, item.GetClass())
+	request.Header.Set(headerGeneration, strconv.FormatUint(item.GetGeneration(), 10))
+	request.Header.Set(headerSnapshot, strconv.FormatUint(item.GetSnapshot(), 10))
 	reply := &itemWriter{header: make(http.Header)}
 	defer func() {
-		if fault := recover(); fault == nil {
+		if cause := recover(); cause == nil {
 			b.send(reply)
-		} else if err, ok := fault.(error); ok && errors.Is(err, http.ErrAbortHandler) {
+		} else if err, ok := cause.(error); ok && errors.Is(err, http.ErrAbortHandler) {
 			b.mu.Lock()
-			b.broken = true
+			b.aborted = true
 			b.mu.Unlock()
 		} else {
-			panic(fault)
+			panic(cause)
 		}
 	}()
-	b.server.serveWork(reply, single)
+	b.server.serveWork(reply, request)
 }
 
-// send writes an item's reply, unless its caller has gone.
+// send writes the reply to an item, unless the item was cancelled.
 func (b *batchWriter) send(reply *itemWriter) {
 	if reply.status == 0 || b.server.takeFault(FaultMissingItem) {
 		return
 	}
-	line := reply.line()
+	message := reply.message()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	// A caller that has gone is noticed by the items that still run.
-	_, _ = protodelim.MarshalTo(b.out, line)
+	// A write error is ignored: a disconnect cancels the context of the items that
+	// still run.
+	_, _ = protodelim.MarshalTo(b.out, message)
 	if b.server.takeFault(FaultDuplicateItem) {
-		_, _ = protodelim.MarshalTo(b.out, line)
+		_, _ = protodelim.MarshalTo(b.out, message)
 	}
 	select {
 	case b.ready <- struct{}{}:
@@ -145,8 +148,9 @@
 	}
 }
 
-// flushReady sends out what is written. Replies that become ready while others
-// are being sent go together: each flush costs both ends a system call.
+// flushReady flushes written replies until ready is closed. Replies that complete
+// during a flush share the next one, because each flush costs a system call at both
+// ends.
 func (b *batchWriter) flushReady(flush func() error) {
 	for range b.ready {
 		b.mu.Lock()
@@ -155,7 +159,7 @@
 	}
 }
 
-// itemWriter keeps the reply to one item.
+// itemWriter buffers the reply to one item.
 type itemWriter struct {
 	header http.Header
 	status int
@@ -175,26 +179,27 @@
 	return w.body.Write(p)
 }
 
-func (w *itemWriter) line() *pb.BatchReply {
-	number := func(text string) uint64 {
+// message converts the buffered reply to a batch reply.
+func (w *itemWriter) message() *pb.BatchReply {
+	parseUint := func(text string) uint64 {
 		n, _ := strconv.ParseUint(text, 10, 64)
 		return n
 	}
 	oldest, newest, _ := strings.Cut(w.header.Get(headerSnapshots), "-")
-	line := &pb.BatchReply{
+	message := &pb.BatchReply{
 		Attempt:        w.header.Get(headerAttempt),
 		Status:         uint32(w.status),
 		NotRun:         w.header.Get(headerNotRun) == "true",
 		Shard:          w.header.Get(headerShard),
-		Generation:     number(w.header.Get(headerGeneration)),
-		Snapshot:       number(w.header.Get(headerSnapshot)),
-		OldestSnapshot: number(oldest),
-		NewestSnapshot: number(newest),
+		Generation:     parseUint(w.header.Get(headerGeneration)),
+		Snapshot:       parseUint(w.header.Get(headerSnapshot)),
+		OldestSnapshot: parseUint(oldest),
+		NewestSnapshot: parseUint(newest),
 		Cold:           w.header.Get(headerState) == "cold",
 		Draining:       w.header.Get(headerState) == "draining",
 	}
 	if w.status == http.StatusOK {
-		line.Result = w.body.Bytes()
+		message.Result = w.body.Bytes()
 	}
-	return line
+	return message
 }
--- a/standin/backend/cold.go
+++ b/standin/backend/cold.go
@@ -1,16 +1,17 @@
 package backend
 
-// coldStart is the state of a cold start.
+// coldStart is the cold-start state of a server.
 type coldStart struct {
 	active bool
-	// announced is false when the server turned cold without a warning: its
-	// status then goes on saying warm.
+	// announced is false when the status reports warm during the cold start.
 	announced bool
-	answered  int
+	// completed counts the requests run to completion since the start.
+	completed int
 }
 
-// BeginColdStart begins a cold start. Unannounced, the status goes on saying warm. What
-// is in flight at that moment counts for MaxInFlightAtColdStart.
+// BeginColdStart starts a cold start. The status reports it only if announced is
+// true. The number of requests in flight at this time is recorded in
+// Counts.MaxInFlightAtColdStart.
 func (s *Server) BeginColdStart(announced bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,9 +26,10 @@
 	return s.cold.active
 }
 
-// enter counts a request in. It returns false when a cold server got more than
-// it bears: it then falls over, and the caller must drop every connection.
-func (s *Server) enter() bool {
+// admit counts a request as in flight. It returns false when the request exceeds
+// the limit of a cold server. The server then simulates a crash: admit starts a new
+// incarnation, and the calling function resets every connection and calls release.
+func (s *Server) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight++
@@ -41,25 +43,26 @@
 	}
 	s.counts.ColdOverloads++
 	s.incarnation++
-	s.cold.answered = 0
+	s.cold.completed = 0
 	return false
 }
 
-func (s *Server) leave() {
+func (s *Server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
 }
 
-// warmUp counts an answer towards the end of a cold start.
+// warmUp counts a completed request. The cold start ends after Cold.Requests of
+// them.
 func (s *Server) warmUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.cold.active {
 		return
 	}
-	s.cold.answered++
-	if s.cold.answered >= s.opts.Cold.Requests {
+	s.cold.completed++
+	if s.cold.completed >= s.opts.Cold.Requests {
 		s.cold = coldStart{}
 	}
 }
--- a/standin/backend/conn.go
+++ b/standin/backend/conn.go
@@ -11,9 +11,8 @@
 
 type connKey struct{}
 
-// listener accepts connections up to the limit and keeps them, so that faults
-// can be caused on them. The connections are guarded by mu, which is taken
-// before the server's.
+// listener enforces the connection limit and tracks open connections for fault
+// injection. mu guards conns and is locked before the server's mu.
 type listener struct {
 	net.Listener
 	server *Server
@@ -22,16 +21,16 @@
 	conns map[*conn]struct{}
 }
 
-// Accept returns the next connection within the limit; those above it are
-// closed and counted.
+// Accept returns the next connection within the limit. Connections above the limit
+// are reset and counted.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		inner, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		c := &conn{Conn: inner, ready: time.Now().Add(l.server.opts.ConnectTime), closed: make(chan struct{})}
-		c.gone = func() { l.forget(c) }
+		c := &conn{Conn: inner, readableAt: time.Now().Add(l.server.opts.ConnectTime), closed: make(chan struct{})}
+		c.onClose = func() { l.remove(c) }
 		if l.server.takeFault(FaultResetOnAccept) || !l.add(c) {
 			c.reset()
 			continue
@@ -57,17 +56,17 @@
 	return true
 }
 
-// connState takes a connection off the count when the HTTP server has ended it.
+// connState stops tracking a connection that the HTTP server has closed.
 func (l *listener) connState(c net.Conn, state http.ConnState) {
 	if state != http.StateClosed && state != http.StateHijacked {
 		return
 	}
-	if own, ok := c.(*conn); ok {
-		l.forget(own)
+	if tracked, ok := c.(*conn); ok {
+		l.remove(tracked)
 	}
 }
 
-func (l *listener) forget(c *conn) {
+func (l *listener) remove(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, c)
@@ -92,61 +91,63 @@
 	}
 }
 
-// conn is a connection that can be reset, or lose both directions without a
-// word, as when a middlebox has dropped its state.
+// conn is a connection with fault injection. A blackholed connection drops its data
+// in both directions without being closed, as after a middlebox loses its state.
 type conn struct {
 	net.Conn
-	ready  time.Time
-	silent atomic.Bool
-	// resetAfter resets the connection once that many bytes were read; 0 is off.
+	// readableAt is the earliest time of the first read.
+	readableAt time.Time
+	blackholed atomic.Bool
+	// resetAfter is the number of bytes to read before the connection is reset; 0
+	// disables the reset.
 	resetAfter atomic.Int64
 	once       sync.Once
 	closed     chan struct{}
-	// gone takes the connection off the count.
-	gone func()
+	// onClose removes the connection from the listener's set.
+	onClose func()
 }
 
 func (c *conn) Read(p []byte) (int, error) {
-	if wait := time.Until(c.ready); wait > 0 {
+	if wait := time.Until(c.readableAt); wait > 0 {
 		time.Sleep(wait)
 	}
-	if left := c.resetAfter.Load(); left > 0 && int64(len(p)) > left {
-		p = p[:left]
+	if remaining := c.resetAfter.Load(); remaining > 0 && int64(len(p)) > remaining {
+		p = p[:remaining]
 	}
 	n, err := c.Conn.Read(p)
 	if c.resetAfter.Load() > 0 && c.resetAfter.Add(-int64(n)) <= 0 {
 		c.reset()
 		return 0, io.ErrUnexpectedEOF
 	}
-	if !c.silent.Load() {
+	if !c.blackholed.Load() {
 		return n, err
 	}
-	// Not even the other end's close arrives: the server goes on counting the
-	// connection, as a real one does.
+	// A close by the peer does not arrive either, so the connection still counts
+	// towards the limit until the server closes it.
 	<-c.closed
 	return 0, net.ErrClosed
 }
 
 func (c *conn) Write(p []byte) (int, error) {
-	if c.silent.Load() {
+	if c.blackholed.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-// Close closes the connection; a silent one keeps the other end in the dark.
+// Close removes the connection from the listener's set and closes it.
 func (c *conn) Close() error {
 	c.once.Do(func() { close(c.closed) })
-	// Before the close: the other end may open the next connection as soon as it
-	// sees this one end, which the HTTP server reports only afterwards. Counted
-	// until then, a client that keeps its limit was seen one above it.
-	c.gone()
+	// Runs before the close because the client may open its next connection as soon
+	// as it sees this close. Otherwise a client within the limit would count as one
+	// connection above the limit.
+	c.onClose()
 	return c.Conn.Close()
 }
 
 func (c *conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		// Linger 0 makes Close send a reset in place of an orderly end.
+		// SetLinger(0) makes Close send a TCP reset instead of FIN.
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Close()
--- a/standin/backend/handler.go
+++ b/standin/backend/handler.go
@@ -30,8 +30,8 @@
 	headerNotRun      = "Carobmill-Not-Run"
 )
 
-// maxBody bounds a request body in bytes.
-const maxBody = 1 << 20
+// maxBodyBytes limits the size of a request body.
+const maxBodyBytes = 1 << 20
 
 // Result is the body of a successful reply.
 type Result struct {
@@ -39,34 +39,34 @@
 	Replica    string `json:"replica"`
 	Generation uint64 `json:"generation"`
 	Snapshot   uint64 `json:"snapshot"`
-	// Digest of the request body, so that a caller can tell that the answer is
-	// its own.
+	// Digest of the request body. A caller compares digests to detect a reply to
+	// another request.
 	Digest string `json:"digest"`
-	// Run counts the runs of this request id; 0 for queries.
+	// Run is the number of runs of this request id so far; 0 for queries.
 	Run int `json:"run,omitempty"`
 }
 
-// Digest returns the digest that a Result gives for a request body.
+// Digest returns the digest of a request body as reported in Result.Digest.
 func Digest(body []byte) string {
 	h := fnv.New64a()
 	_, _ = h.Write(body)
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// ServeHTTP answers queries, alone and in batches, executes and status requests.
+// ServeHTTP serves queries, batches of queries, executes and status requests.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	stalled := s.stalled
+	stall := s.stall
 	s.mu.Unlock()
-	if stalled != nil {
-		<-stalled
+	if stall != nil {
+		<-stall
 	}
 	switch r.URL.Path {
 	case pathStatus:
 		s.mu.Lock()
 		s.counts.Statuses++
 		s.mu.Unlock()
-		s.stateHeaders(w.Header())
+		s.setStateHeaders(w.Header())
 		w.WriteHeader(http.StatusOK)
 	case pathQuery, pathExecute:
 		s.serveWork(w, r)
@@ -78,7 +78,7 @@
 }
 
 func (s *Server) serveWork(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, "body", http.StatusBadRequest)
 		return
@@ -86,48 +86,51 @@
 	if s.takeFault(FaultResetBeforeRun) {
 		abort(r)
 	}
-	if !s.enter() {
-		s.openReset()
-		s.leave()
+	if !s.admit() {
+		s.resetListenerConns()
+		s.release()
 		panic(http.ErrAbortHandler)
 	}
-	// What the request occupies is free before its reply can be seen.
-	job, status := s.perform(r, body)
-	s.leave()
+	// The slot and the in-flight count are released before the reply is sent.
+	// Otherwise a caller within its limit could exceed the limit of the server when it
+	// sends the next request on receipt of the reply.
+	result, status := s.perform(r, body)
+	s.release()
 	switch status {
-	case statusGone:
+	case statusCancelled:
 	case http.StatusOK:
-		s.reply(w, r, job)
+		s.reply(w, r, result)
 	default:
-		s.refuse(w, r, status)
+		s.reject(w, r, status)
 	}
 }
 
-// statusGone means that the caller has gone and nothing is answered.
-const statusGone = 0
+// statusCancelled means that the caller cancelled the request. No reply is sent.
+const statusCancelled = 0
 
-// perform runs the request and returns the status to answer with.
+// perform runs the request and returns the result and the status of the reply.
 func (s *Server) perform(r *http.Request, body []byte) (Result, int) {
-	if status := s.refusal(); status != 0 {
+	if status := s.rejection(); status != 0 {
 		return Result{}, status
 	}
 	if status := s.acquireSlot(r); status != http.StatusOK {
 		return Result{}, status
 	}
 	defer func() { <-s.slots }()
-	job, ok := s.begin(r, body)
+	result, ok := s.recordRun(r, body)
 	if !ok {
 		return Result{}, http.StatusGone
 	}
-	if !s.work(r) {
-		return Result{}, statusGone
+	if !s.waitServiceTime(r) {
+		return Result{}, statusCancelled
 	}
 	s.warmUp()
-	return job, http.StatusOK
+	return result, http.StatusOK
 }
 
-// refusal returns the status of a refusal before any work, or 0.
-func (s *Server) refusal() int {
+// rejection returns the status for rejecting a request before it runs, or 0 to
+// accept the request.
+func (s *Server) rejection() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -141,16 +144,17 @@
 	return 0
 }
 
-func (s *Server) refuse(w http.ResponseWriter, r *http.Request, status int) {
-	s.stateHeaders(w.Header())
+// reject replies with the status and marks the request as not run.
+func (s *Server) reject(w http.ResponseWriter, r *http.Request, status int) {
+	s.setStateHeaders(w.Header())
 	w.Header().Set(headerAttempt, r.Header.Get(headerAttempt))
-	s.spoil(w.Header())
+	s.corruptHeaders(w.Header())
 	w.Header().Set(headerNotRun, "true")
 	w.WriteHeader(status)
 }
 
-// acquireSlot waits for a slot. It returns another status than 200 when the
-// queue is full or the caller has gone.
+// acquireSlot waits for a slot. It returns 200 if it acquired one, 429 if the queue
+// is full, and statusCancelled if the caller cancelled the request.
 func (s *Server) acquireSlot(r *http.Request) int {
 	select {
 	case s.slots <- struct{}{}:
@@ -168,7 +172,7 @@
 	if full {
 		return http.StatusTooManyRequests
 	}
-	status := statusGone
+	status := statusCancelled
 	select {
 	case s.slots <- struct{}{}:
 		status = http.StatusOK
@@ -177,15 +181,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.waiting--
-	if status == statusGone {
+	if status == statusCancelled {
 		s.counts.Cancelled++
 	}
 	return status
 }
 
-// begin records that the request runs. It returns false when the snapshot or
-// the shard is not held.
-func (s *Server) begin(r *http.Request, body []byte) (Result, bool) {
+// recordRun records a run of the request and returns its result. It returns false
+// when the server does not hold the snapshot, the generation or the shard.
+func (s *Server) recordRun(r *http.Request, body []byte) (Result, bool) {
 	snapshot, _ := strconv.ParseUint(r.Header.Get(headerSnapshot), 10, 64)
 	generation, _ := strconv.ParseUint(r.Header.Get(headerGeneration), 10, 64)
 	shard := r.Header.Get(headerShard)
@@ -195,13 +199,13 @@
 		snapshot = s.newest
 	}
 	g := s.generationOf(snapshot)
-	held := snapshot >= s.oldest && snapshot <= s.newest && g != nil &&
+	available := snapshot >= s.oldest && snapshot <= s.newest && g != nil &&
 		(generation == 0 || g.ID == generation) && slices.Contains(g.Shards, shard)
-	if !held {
+	if !available {
 		s.counts.NoSnapshot++
 		return Result{}, false
 	}
-	job := Result{
+	result := Result{
 		Shard:      shard,
 		Replica:    s.opts.Name,
 		Generation: g.ID,
@@ -214,16 +218,18 @@
 	}
 	if r.URL.Path == pathQuery {
 		s.counts.Queries++
-		return job, true
+		return result, true
 	}
 	id := r.Header.Get(headerRequestID)
 	s.counts.Executes++
 	s.runs[id]++
-	s.runLog = append(s.runLog, Run{RequestID: id, Attempt: attempt, Shard: shard, Digest: job.Digest})
-	job.Run = s.runs[id]
-	return job, true
+	s.runLog = append(s.runLog, Run{RequestID: id, Attempt: attempt, Shard: shard, Digest: result.Digest})
+	result.Run = s.runs[id]
+	return result, true
 }
 
+// generationOf returns the last generation that starts at or before the snapshot.
+// Caller holds mu.
 func (s *Server) generationOf(snapshot uint64) *Generation {
 	for i := len(s.generations) - 1; i >= 0; i-- {
 		if s.generations[i].FirstSnapshot <= snapshot {
@@ -233,78 +239,81 @@
 	return nil
 }
 
-// work holds the slot for the service time. A query stops when its caller goes
-// away, an execute does not.
-func (s *Server) work(r *http.Request) bool {
+// waitServiceTime waits for the end of a Hold and then for the service time. It
+// returns false if the caller cancels a query; an execute continues.
+func (s *Server) waitServiceTime(r *http.Request) bool {
 	s.mu.Lock()
-	took := s.drawTime()
-	held := s.held
+	serviceTime := s.drawServiceTime()
+	hold := s.hold
 	s.mu.Unlock()
-	gone := r.Context().Done()
+	cancelled := r.Context().Done()
 	if r.URL.Path == pathExecute {
-		gone = nil
+		cancelled = nil
 	}
-	if held != nil {
+	if hold != nil {
 		select {
-		case <-held:
-		case <-gone:
-			return s.cancelled()
+		case <-hold:
+		case <-cancelled:
+			return s.countCancelled()
 		}
 	}
-	if took <= 0 {
+	if serviceTime <= 0 {
 		return true
 	}
-	timer := time.NewTimer(took)
+	timer := time.NewTimer(serviceTime)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-gone:
-		return s.cancelled()
+	case <-cancelled:
+		return s.countCancelled()
 	}
 }
 
-func (s *Server) cancelled() bool {
+// countCancelled counts a cancelled request and returns false.
+func (s *Server) countCancelled() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Cancelled++
 	return false
 }
 
-func (s *Server) drawTime() time.Duration {
+// drawServiceTime draws the service time of one request. Caller holds mu.
+func (s *Server) drawServiceTime() time.Duration {
 	st := s.opts.ServiceTime
-	took := float64(st.Base)
+	d := float64(st.Base)
 	if st.Spread > 0 {
-		took += s.opts.Rng.Float64() * float64(st.Spread)
+		d += s.opts.Rng.Float64() * float64(st.Spread)
 	}
 	if st.SlowShare > 0 && s.opts.Rng.Float64() < st.SlowShare {
-		took *= st.SlowFactor
+		d *= st.SlowFactor
 	}
 	if s.cold.active {
-		took *= s.opts.Cold.Factor
+		d *= s.opts.Cold.Factor
 	}
-	return time.Duration(took * s.factor)
+	return time.Duration(d * s.timeFactor)
 }
 
-func (s *Server) reply(w http.ResponseWriter, r *http.Request, job Result) {
+// reply sends the result, or the injected fault in its place.
+func (s *Server) reply(w http.ResponseWriter, r *http.Request, result Result) {
 	if s.takeFault(FaultLostReply) {
 		abort(r)
 	}
 	if s.takeFault(FaultError) {
-		s.stateHeaders(w.Header())
+		s.setStateHeaders(w.Header())
 		w.Header().Set(headerAttempt, r.Header.Get(headerAttempt))
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	h := w.Header()
-	s.stateHeaders(h)
+	s.setStateHeaders(h)
 	h.Set("Content-Type", "application/json")
-	h.Set(headerShard, job.Shard)
+	h.Set(headerShard, result.Shard)
 	h.Set(headerAttempt, r.Header.Get(headerAttempt))
-	h.Set(headerGeneration, strconv.FormatUint(job.Generation, 10))
-	h.Set(headerSnapshot, strconv.FormatUint(job.Snapshot, 10))
-	s.spoil(h)
-	body, err := json.Marshal(job)
+	h.Set(headerGeneration, strconv.FormatUint(result.Generation, 10))
+	h.Set(headerSnapshot, strconv.FormatUint(result.Snapshot, 10))
+	s.corruptHeaders(h)
+	body, err := json.Marshal(result)
 	if err != nil {
 		panic(err)
 	}
@@ -320,8 +329,8 @@
 	_, _ = w.Write(body)
 }
 
-// spoil applies the faults that change the reply's headers.
-func (s *Server) spoil(h http.Header) {
+// corruptHeaders applies the faults that change the headers of a reply.
+func (s *Server) corruptHeaders(h http.Header) {
 	if s.takeFault(FaultWrongAttempt) {
 		h.Set(headerAttempt, h.Get(headerAttempt)+"-other")
 	}
@@ -336,8 +345,8 @@
 	}
 }
 
-// stateHeaders sets the headers that every reply carries.
-func (s *Server) stateHeaders(h http.Header) {
+// setStateHeaders sets the headers that every reply carries.
+func (s *Server) setStateHeaders(h http.Header) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := "warm"
@@ -357,7 +366,8 @@
 	h.Set(headerState, state)
 }
 
-func (s *Server) openReset() {
+// resetListenerConns resets every connection if the server is listening.
+func (s *Server) resetListenerConns() {
 	s.mu.Lock()
 	l := s.listener
 	s.mu.Unlock()
--- a/standin/backend/server.go
+++ b/standin/backend/server.go
@@ -11,8 +11,8 @@
 	"github.com/pkg/errors"
 )
 
-// Server is one backend server. Safe for concurrent use; mu guards every field
-// below it.
+// Server is a stand-in for one backend server. Safe for concurrent use; mu guards
+// the fields below it.
 type Server struct {
 	opts  Options
 	slots chan struct{}
@@ -28,13 +28,13 @@
 	draining    bool
 	shedding    bool
 	noBatches   bool
-	factor      float64
+	timeFactor  float64
 	load        float64
 	loadFixed   bool
 	fault       Fault
-	faults      int
-	held        chan struct{}
-	stalled     chan struct{}
+	faultsLeft  int
+	hold        chan struct{}
+	stall       chan struct{}
 	waiting     int
 	inFlight    int
 	runs        map[string]int
@@ -43,7 +43,7 @@
 	counts      Counts
 }
 
-// Run is one run of a non-idempotent request.
+// Run is one execution of a non-idempotent request.
 type Run struct {
 	RequestID string
 	Attempt   string
@@ -51,34 +51,38 @@
 	Digest    string
 }
 
-// Counts is what the server has seen since it was made; restarts keep it.
+// Counts holds counters since the server was created. Restarts don't reset them.
 type Counts struct {
 	Queries, Executes, Statuses uint64
-	// Batches counts calls that carried several queries; each of these is counted
-	// among Queries too. MaxBatch is the most items in one of them.
+	// Batches counts batch calls; each item that runs also counts in Queries. MaxBatch
+	// is the largest number of items in one call.
 	Batches  uint64
 	MaxBatch int
-	// Shed and Refused were answered with "not run".
+	// Shed and Refused count requests rejected with "not run": shed by a full queue or
+	// Server.Shed, and refused while draining.
 	Shed, Refused uint64
-	// NoSnapshot counts requests for a snapshot or shard that is not held.
+	// NoSnapshot counts requests for a snapshot, generation or shard that the server
+	// does not hold.
 	NoSnapshot uint64
-	// Cancelled counts requests whose caller went away while they waited or ran.
+	// Cancelled counts requests that the caller cancelled while they waited or ran.
 	Cancelled uint64
-	// MaxInFlightAtColdStart is the most that was in flight when the server turned cold.
+	// MaxInFlightAtColdStart is the maximum number of requests in flight at the
+	// calls of BeginColdStart.
 	MaxInFlightAtColdStart int
-	// ColdOverloads counts times that a cold server got more than it bears.
+	// ColdOverloads counts requests above the concurrency limit of a cold server.
 	ColdOverloads uint64
-	// RefusedConnections were above the connection limit.
+	// RefusedConnections counts connections above the connection limit.
 	RefusedConnections uint64
-	// Accepted counts connections that were kept.
+	// Accepted counts connections accepted within the limit.
 	Accepted uint64
-	// MaxInFlight and MaxColdInFlight count requests that wait or run.
+	// MaxInFlight and MaxColdInFlight are the maximum numbers of requests that waited
+	// or ran at the same time, overall and during cold starts.
 	MaxInFlight, MaxColdInFlight int
-	// Connections open now and the most that were open at once.
+	// Connections is the number of open connections, MaxConnections its maximum.
 	Connections, MaxConnections int
 }
 
-// New makes a server that is not listening yet.
+// New returns a server that does not listen yet.
 func New(opts Options) *Server {
 	opts = opts.withDefaults()
 	s := &Server{
@@ -88,7 +92,7 @@
 		oldest:      opts.Oldest,
 		newest:      opts.Newest,
 		generations: opts.Generations,
-		factor:      1,
+		timeFactor:  1,
 		runs:        make(map[string]int),
 		attempts:    make(map[string]bool),
 	}
@@ -108,7 +112,8 @@
 	return nil
 }
 
-// Serve is Start on a listener that is open already. It returns at once.
+// Serve serves on an open listener until Close, in the background. It returns at
+// once.
 func (s *Server) Serve(inner net.Listener) {
 	l := &listener{Listener: inner, server: s, conns: make(map[*conn]struct{})}
 	protocols := new(http.Protocols)
@@ -133,7 +138,7 @@
 	}()
 }
 
-// Addr returns the IP number and port that the server listens on.
+// Addr returns the IP address and port of the listener.
 func (s *Server) Addr() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,48 +153,48 @@
 	if srv == nil {
 		return
 	}
-	// The HTTP server closes the listener only once it has begun to serve.
+	// The HTTP server closes the listener only if its Serve has started.
 	_ = l.Close()
 	_ = srv.Close()
 	l.resetAll()
 }
 
-// Counts returns what the server has seen so far.
+// Counts returns a copy of the counters.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Runs returns how often the non-idempotent request ran.
+// Runs returns how many times the non-idempotent request ran.
 func (s *Server) Runs(requestID string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[requestID]
 }
 
-// RunLog returns every run of a non-idempotent request, in order.
+// RunLog returns every run of non-idempotent requests, in order.
 func (s *Server) RunLog() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Run(nil), s.runLog...)
 }
 
-// Ran reports whether an attempt got a slot; needs Options.RecordAttempts.
+// Ran reports whether an attempt ran. It requires Options.RecordAttempts.
 func (s *Server) Ran(attempt string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.attempts[attempt]
 }
 
-// InFlight returns the requests that wait or run.
+// InFlight returns the number of requests that wait or run.
 func (s *Server) InFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.inFlight
 }
 
-// Incarnation returns the value that a restart changes.
+// Incarnation returns the incarnation, which changes at each restart or crash.
 func (s *Server) Incarnation() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/backend/switches.go
+++ b/standin/backend/switches.go
@@ -2,77 +2,80 @@
 
 import "net/http"
 
-// Fault is what goes wrong with the next requests or connections.
+// Fault is a fault injected into requests or connections.
 type Fault int
 
-// Faults, in the order in which they meet a request.
+// Faults that SetFault injects.
 const (
 	FaultNone Fault = iota
-	// FaultResetOnAccept resets a new connection at once.
+	// FaultResetOnAccept resets a new connection immediately.
 	FaultResetOnAccept
-	// FaultResetBeforeRun resets the connection after the request was read and
-	// before it ran.
+	// FaultResetBeforeRun resets the connection after reading the request and before
+	// running it.
 	FaultResetBeforeRun
 	// FaultLostReply runs the request and resets the connection before the reply.
 	FaultLostReply
-	// FaultTruncatedReply runs the request and resets the connection within the reply.
+	// FaultTruncatedReply runs the request and resets the connection in the middle of
+	// the reply.
 	FaultTruncatedReply
-	// FaultWrongAttempt answers with another attempt's id.
+	// FaultWrongAttempt replies with the id of another attempt.
 	FaultWrongAttempt
-	// FaultWrongSnapshot answers from a snapshot that was not asked for.
+	// FaultWrongSnapshot replies with a snapshot other than the requested one.
 	FaultWrongSnapshot
-	// FaultMalformedHeaders answers with header values that do not parse.
+	// FaultMalformedHeaders replies with header values that do not parse.
 	FaultMalformedHeaders
-	// FaultOversizedReply answers with a body of OversizedReplyBytes bytes.
+	// FaultOversizedReply replies with a body of OversizedReplyBytes.
 	FaultOversizedReply
-	// FaultError answers 500 after running the request.
+	// FaultError replies with status 500 after running the request.
 	FaultError
-	// FaultMissingItem leaves an item out of a batch's reply.
+	// FaultMissingItem omits an item from the reply to a batch.
 	FaultMissingItem
-	// FaultDuplicateItem answers an item of a batch twice.
+	// FaultDuplicateItem sends the reply to an item of a batch twice.
 	FaultDuplicateItem
 )
 
-// OversizedReplyBytes is the size in bytes of a FaultOversizedReply reply.
+// OversizedReplyBytes is the body size of a FaultOversizedReply.
 const OversizedReplyBytes = 4 << 20
 
-// SetFault makes the next n requests, or connections for FaultResetOnAccept,
-// meet the fault. A negative n is no bound.
+// SetFault injects the fault into the next n requests, or connections for
+// FaultResetOnAccept, and replaces the fault set before. A negative n means no
+// limit.
 func (s *Server) SetFault(f Fault, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault, s.faults = f, n
+	s.fault, s.faultsLeft = f, n
 }
 
-// takeFault uses up one occurrence of the fault if it is set.
+// takeFault reports whether the fault is set and consumes one occurrence of it.
 func (s *Server) takeFault(f Fault) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.fault != f || s.faults == 0 {
+	if s.fault != f || s.faultsLeft == 0 {
 		return false
 	}
-	if s.faults > 0 {
-		s.faults--
+	if s.faultsLeft > 0 {
+		s.faultsLeft--
 	}
 	return true
 }
 
-// SetSnapshots makes a newer snapshot available and drops those older than oldest.
+// SetSnapshots sets the range of snapshots that the server holds.
 func (s *Server) SetSnapshots(oldest, newest uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.oldest, s.newest = oldest, newest
 }
 
-// Repartition adds a generation.
+// Repartition adds a generation. Its FirstSnapshot must be at least that of the
+// last one.
 func (s *Server) Repartition(g Generation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.generations = append(append([]Generation(nil), s.generations...), g)
 }
 
-// Restart resets every connection and comes back as a new incarnation, cold if
-// Options.Cold says that the server has cold starts.
+// Restart resets every connection and starts a new incarnation. The new incarnation
+// is in an announced cold start if Options.Cold sets a limit.
 func (s *Server) Restart() {
 	s.mu.Lock()
 	s.incarnation++
@@ -87,7 +90,7 @@
 	}
 }
 
-// Drain makes the server refuse new requests; those in flight finish.
+// Drain makes the server reject new requests. Requests in flight complete.
 func (s *Server) Drain(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,77 +104,78 @@
 	s.shedding = on
 }
 
-// RefuseBatches makes the server answer as one that does not know the batch call.
+// RefuseBatches makes the server reply 404 to batch calls, as a server without
+// support for them does.
 func (s *Server) RefuseBatches(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.noBatches = on
 }
 
-// SetServiceTimeFactor multiplies the service time of all requests from now on.
+// SetServiceTimeFactor sets a factor for the service time of subsequent requests.
 func (s *Server) SetServiceTimeFactor(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.factor = factor
+	s.timeFactor = factor
 }
 
-// SetReportedLoad makes the server report this load, whatever its true load is.
+// SetReportedLoad makes the server report this load instead of its actual load.
 func (s *Server) SetReportedLoad(load float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.load, s.loadFixed = load, true
 }
 
-// Hold makes requests that got a slot wait until Resume.
+// Hold makes requests that hold a slot wait until Resume.
 func (s *Server) Hold() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.held == nil {
-		s.held = make(chan struct{})
+	if s.hold == nil {
+		s.hold = make(chan struct{})
 	}
 }
 
-// Resume lets held requests go on.
+// Resume ends a Hold.
 func (s *Server) Resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.held != nil {
-		close(s.held)
-		s.held = nil
+	if s.hold != nil {
+		close(s.hold)
+		s.hold = nil
 	}
 }
 
-// Stall makes the server answer nothing, status requests and new connections
-// included, until it is called with false.
+// Stall makes every request, status requests included, wait until Stall is called
+// with false.
 func (s *Server) Stall(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if on && s.stalled == nil {
-		s.stalled = make(chan struct{})
+	if on && s.stall == nil {
+		s.stall = make(chan struct{})
 	}
-	if !on && s.stalled != nil {
-		close(s.stalled)
-		s.stalled = nil
+	if !on && s.stall != nil {
+		close(s.stall)
+		s.stall = nil
 	}
 }
 
-// BlackholeConnections makes every connection that is open now lose its bytes in
-// both directions for good, without being closed; new ones work.
+// BlackholeConnections makes every open connection drop its data in both directions
+// permanently, without closing it. New connections are not affected.
 func (s *Server) BlackholeConnections() {
 	for _, c := range s.openConns() {
-		c.silent.Store(true)
+		c.blackholed.Store(true)
 	}
 }
 
-// ResetConnections resets every connection that is open now.
+// ResetConnections resets every open connection.
 func (s *Server) ResetConnections() {
 	for _, c := range s.openConns() {
 		c.reset()
 	}
 }
 
-// ResetAfterBytes resets every connection that is open now once it has read
-// that many further bytes.
+// ResetAfterBytes resets every open connection after the server has read n more
+// bytes from it.
 func (s *Server) ResetAfterBytes(n int64) {
 	for _, c := range s.openConns() {
 		c.resetAfter.Store(n)
@@ -185,8 +189,8 @@
 	return l.open()
 }
 
-// abort ends the request without a reply: the connection under HTTP/1.1 is
-// reset, the stream under HTTP/2.
+// abort ends the request without a reply. It resets the connection under HTTP/1.1
+// and the stream under HTTP/2.
 func abort(r *http.Request) {
 	if c, ok := r.Context().Value(connKey{}).(*conn); ok && r.ProtoMajor == 1 {
 		c.reset()
