--- a/standin/memnet/conn.go
+++ b/standin/memnet/conn.go
@@ -10,28 +10,29 @@
 	"time"
 )
 
-// Conn is one end of a connection.
+// Conn is one end of an in-memory connection.
 type Conn struct {
 	network       *Network
 	local, remote net.Addr
 	link          link
-	// in holds what the other end sent, out is the other end's in.
+	// in carries data from the other end, out carries data to it. The out of one end
+	// is the in of the other.
 	in, out *stream
-	// silent is shared by both ends.
-	silent *atomic.Bool
+	// blackholed is shared by both ends.
+	blackholed *atomic.Bool
 }
 
-// pair makes the two ends of a connection from a host to a listener.
+// pair creates both ends of a connection from a host to a listener.
 func (n *Network) pair(host string, l *Listener) (client, server *Conn) {
 	n.mu.Lock()
-	n.port++
-	local := &net.TCPAddr{IP: l.addr.IP, Port: n.port}
+	n.lastPort++
+	local := &net.TCPAddr{IP: l.addr.IP, Port: n.lastPort}
 	n.mu.Unlock()
 	up, down := newStream(), newStream()
-	silent := &atomic.Bool{}
+	blackholed := &atomic.Bool{}
 	between := linkOf(host, l.host)
-	client = &Conn{network: n, local: local, remote: l.addr, link: between, in: down, out: up, silent: silent}
-	server = &Conn{network: n, local: l.addr, remote: local, link: between, in: up, out: down, silent: silent}
+	client = &Conn{network: n, local: local, remote: l.addr, link: between, in: down, out: up, blackholed: blackholed}
+	server = &Conn{network: n, local: l.addr, remote: local, link: between, in: up, out: down, blackholed: blackholed}
 	return client, server
 }
 
@@ -40,32 +41,33 @@
 
 // Write implements net.Conn. It never blocks.
 func (c *Conn) Write(p []byte) (int, error) {
-	if c.lost() {
+	if c.isBlackholed() {
 		return len(p), nil
 	}
 	return c.out.write(p, time.Now().Add(c.network.delay))
 }
 
-// lost reports whether the connection has gone silent.
-func (c *Conn) lost() bool {
+// isBlackholed reports whether the connection drops its data. A send over a cut link
+// makes this permanent.
+func (c *Conn) isBlackholed() bool {
 	if c.network.isCut(c.link.a, c.link.b) {
-		c.silent.Store(true)
+		c.blackholed.Store(true)
 	}
-	return c.silent.Load()
+	return c.blackholed.Load()
 }
 
-// Close implements net.Conn. The other end reads what was sent before, then
-// the end.
+// Close implements net.Conn. The other end reads the data sent before the close,
+// then io.EOF.
 func (c *Conn) Close() error {
 	_ = c.CloseWrite()
-	c.in.abandon()
+	c.in.closeReader()
 	return nil
 }
 
-// CloseWrite ends this direction only.
+// CloseWrite closes the sending direction only.
 func (c *Conn) CloseWrite() error {
-	if !c.lost() {
-		c.out.end(time.Now().Add(c.network.delay))
+	if !c.isBlackholed() {
+		c.out.closeWriter(time.Now().Add(c.network.delay))
 	}
 	return nil
 }
@@ -88,7 +90,7 @@
 // SetWriteDeadline implements net.Conn; writes never block.
 func (c *Conn) SetWriteDeadline(time.Time) error { return nil }
 
-// segment is bytes under way, readable from a time on.
+// segment is data in transit that becomes readable at a given time.
 type segment struct {
 	data []byte
 	at   time.Time
@@ -96,15 +98,16 @@
 
 // stream is one direction of a connection.
 type stream struct {
-	// mu guards everything below.
+	// mu guards the fields below.
 	mu       sync.Mutex
 	segments []segment
-	// ended is when the writer's end arrives; zero while it is open.
-	ended time.Time
-	// abandoned is set when the reader has closed.
-	abandoned bool
-	deadline  time.Time
-	// changed is closed and replaced whenever something above changes.
+	// eofAt is when the end of the stream reaches the reader; zero while the writer
+	// is open.
+	eofAt time.Time
+	// readerClosed is set when the reader closes its end.
+	readerClosed bool
+	deadline     time.Time
+	// changed is closed and replaced whenever a field above changes.
 	changed chan struct{}
 }
 
@@ -112,7 +115,7 @@
 	return &stream{changed: make(chan struct{})}
 }
 
-// wake lets readers look again. Caller holds mu.
+// wake makes waiting readers poll again. Caller holds mu.
 func (s *stream) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -121,10 +124,10 @@
 func (s *stream) write(p []byte, at time.Time) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.ended.IsZero() {
+	if !s.eofAt.IsZero() {
 		return 0, net.ErrClosed
 	}
-	if s.abandoned {
+	if s.readerClosed {
 		return 0, &net.OpError{Op: "write", Net: "tcp", Err: syscall.ECONNRESET}
 	}
 	s.segments = append(s.segments, segment{data: append([]byte(nil), p...), at: at})
@@ -132,19 +135,20 @@
 	return len(p), nil
 }
 
-func (s *stream) end(at time.Time) {
+// closeWriter ends the stream; the reader sees io.EOF at the given time.
+func (s *stream) closeWriter(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended.IsZero() {
-		s.ended = at
+	if s.eofAt.IsZero() {
+		s.eofAt = at
 		s.wake()
 	}
 }
 
-func (s *stream) abandon() {
+func (s *stream) closeReader() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.abandoned = true
+	s.readerClosed = true
 	s.wake()
 }
 
@@ -165,10 +169,11 @@
 	}
 }
 
-// forever is the wait of a reader to which nothing is on its way.
+// forever is the time limit of a wait that only a change of the stream ends.
 const forever = time.Duration(1<<63 - 1)
 
-// wait is how long a reader has nothing to read, unless something changes.
+// wait is a reader's wait for readable data. It ends after the time limit or when
+// changed is closed.
 type wait struct {
 	limit   time.Duration
 	changed <-chan struct{}
@@ -187,26 +192,26 @@
 	}
 }
 
-// poll reads what is there, or says how long to wait.
+// poll reads available data, or returns how long to wait for it.
 func (s *stream) poll(p []byte) (int, wait, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	switch {
-	case s.abandoned:
+	case s.readerClosed:
 		return 0, wait{}, net.ErrClosed
 	case !s.deadline.IsZero() && !now.Before(s.deadline):
 		return 0, wait{}, os.ErrDeadlineExceeded
 	case len(s.segments) > 0 && !now.Before(s.segments[0].at):
-		return s.take(p), wait{}, nil
-	case len(s.segments) == 0 && !s.ended.IsZero() && !now.Before(s.ended):
+		return s.readSegment(p), wait{}, nil
+	case len(s.segments) == 0 && !s.eofAt.IsZero() && !now.Before(s.eofAt):
 		return 0, wait{}, io.EOF
 	}
-	return 0, wait{limit: s.next(now), changed: s.changed}, nil
+	return 0, wait{limit: s.untilReadable(now), changed: s.changed}, nil
 }
 
-// take moves bytes of the first segment to p. Caller holds mu.
-func (s *stream) take(p []byte) int {
+// readSegment moves data of the first segment to p. Caller holds mu.
+func (s *stream) readSegment(p []byte) int {
 	n := copy(p, s.segments[0].data)
 	s.segments[0].data = s.segments[0].data[n:]
 	if len(s.segments[0].data) == 0 {
@@ -215,16 +220,17 @@
 	return n
 }
 
-// next returns how long until something is there to read. Caller holds mu.
-func (s *stream) next(now time.Time) time.Duration {
-	left := forever
+// untilReadable returns the time until the next data, the end of the stream or the
+// deadline. Caller holds mu.
+func (s *stream) untilReadable(now time.Time) time.Duration {
+	remaining := forever
 	if !s.deadline.IsZero() {
-		left = s.deadline.Sub(now)
+		remaining = s.deadline.Sub(now)
 	}
 	if len(s.segments) > 0 {
-		left = min(left, s.segments[0].at.Sub(now))
-	} else if !s.ended.IsZero() {
-		left = min(left, s.ended.Sub(now))
+		remaining = min(remaining, s.segments[0].at.Sub(now))
+	} else if !s.eofAt.IsZero() {
+		remaining = min(remaining, s.eofAt.Sub(now))
 	}
-	return left
+	return remaining
 }
--- a/standin/memnet/network.go
+++ b/standin/memnet/network.go
@@ -1,11 +1,11 @@
-// Package memnet stands in for TCP in tests of several nodes in one process. Its
-// connections live in memory and use only the time package, so that a whole
-// deployment runs in the virtual time of testing/synctest: a busy machine then
-// changes no verdict. Links between hosts have a delay and can be cut.
+// Package memnet is an in-memory replacement for TCP in tests that run several nodes
+// in one process. Its connections use only the time package, so a whole deployment
+// runs in the virtual time of testing/synctest and test results do not depend on CPU
+// load. Links between hosts have a delay and can be cut.
 //
-// A connection over a cut link goes silent for good, also after the link is
-// mended, as when something between the two ends has lost track of it; new
-// connections work again.
+// A connection that sends over a cut link is blackholed: it drops all data
+// permanently, also after the link is restored, as after a middlebox loses its state.
+// New connections work after the link is restored.
 package memnet
 
 import (
@@ -20,9 +20,9 @@
 )
 
 const (
-	// firstPort is the first port that Listen draws for port 0.
-	firstPort = 20000
-	// backlog bounds the connections that wait for Accept.
+	// portBase is the port number below the ports that the network assigns.
+	portBase = 20000
+	// backlog limits the connections that wait for Accept.
 	backlog = 1024
 )
 
@@ -30,11 +30,12 @@
 type Network struct {
 	delay time.Duration
 
-	// mu guards everything below.
+	// mu guards the fields below.
 	mu        sync.Mutex
 	listeners map[string]*Listener
-	port      int
-	cuts      map[link]bool
+	// lastPort is the last port that the network assigned.
+	lastPort int
+	cuts     map[link]bool
 }
 
 // link is an unordered pair of hosts.
@@ -47,24 +48,24 @@
 	return link{a, b}
 }
 
-// New returns a network whose links take the given time one way.
+// New returns a network whose links have the given one-way delay.
 func New(delay time.Duration) *Network {
 	return &Network{
 		delay:     delay,
 		listeners: make(map[string]*Listener),
-		port:      firstPort,
+		lastPort:  portBase,
 		cuts:      make(map[link]bool),
 	}
 }
 
-// Cut cuts the link between two hosts.
+// Cut interrupts the link between two hosts.
 func (n *Network) Cut(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cuts[linkOf(a, b)] = true
 }
 
-// Restore ends a cut.
+// Restore restores the link between two hosts after a Cut.
 func (n *Network) Restore(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -77,8 +78,8 @@
 	return n.cuts[linkOf(a, b)]
 }
 
-// Listen opens a port of a host. Addresses are IP numbers and ports; port 0
-// draws a free one.
+// Listen opens a port on a host. The address is an IP address and a port; port 0
+// assigns a port.
 func (n *Network) Listen(host, address string) (*Listener, error) {
 	tcp, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
@@ -87,8 +88,8 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if tcp.Port == 0 {
-		n.port++
-		tcp.Port = n.port
+		n.lastPort++
+		tcp.Port = n.lastPort
 	}
 	if n.listeners[tcp.String()] != nil {
 		return nil, errors.Errorf("listen %s: address is in use", tcp)
@@ -104,7 +105,7 @@
 	return l, nil
 }
 
-// Dialer returns the function by which a host opens connections.
+// Dialer returns a dial function for a host.
 func (n *Network) Dialer(host string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		return n.dial(ctx, host, address)
@@ -116,34 +117,35 @@
 	l := n.listeners[address]
 	n.mu.Unlock()
 	if l != nil && n.isCut(host, l.host) {
-		// Nothing answers: the attempt ends with its own timeout.
+		// A cut link drops the connection request, so the dial blocks until its
+		// timeout.
 		<-ctx.Done()
 		return nil, errors.Wrap(ctx.Err(), "dial "+address)
 	}
-	if err := n.travel(ctx); err != nil {
+	if err := n.waitRoundTrip(ctx); err != nil {
 		return nil, errors.Wrap(err, "dial "+address)
 	}
 	if l == nil {
-		return nil, refused(address)
+		return nil, connectionRefused(address)
 	}
 	client, server := n.pair(host, l)
 	select {
 	case <-l.closed:
-		return nil, refused(address)
+		return nil, connectionRefused(address)
 	case l.queue <- server:
 		l.dropIfClosed()
 		return client, nil
 	default:
-		return nil, refused(address)
+		return nil, connectionRefused(address)
 	}
 }
 
-func refused(address string) error {
+func connectionRefused(address string) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: fmt.Errorf("%s: %w", address, syscall.ECONNREFUSED)}
 }
 
-// travel waits for a round trip.
-func (n *Network) travel(ctx context.Context) error {
+// waitRoundTrip waits for one round trip.
+func (n *Network) waitRoundTrip(ctx context.Context) error {
 	timer := time.NewTimer(2 * n.delay)
 	defer timer.Stop()
 	select {
@@ -191,8 +193,8 @@
 	return nil
 }
 
-// dropIfClosed ends the connections that a closed port has not accepted, as the
-// kernel does; their callers would else wait for ever.
+// dropIfClosed closes the connections that a closed listener has not accepted, as
+// the kernel does. Otherwise their clients would wait forever.
 func (l *Listener) dropIfClosed() {
 	select {
 	case <-l.closed:
