--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// faults are the switches. All are off in the zero value.
+// faults holds the injected faults. The zero value injects none.
 type faults struct {
-	down        bool
-	silent      chan struct{}
-	slow        time.Duration
-	loseAnswers int
-	dropWrites  int
-	dropReads   int
+	down             bool
+	unresponsive     chan struct{}
+	delay            time.Duration
+	dropWriteReplies int
+	dropWrites       int
+	dropReads        int
 }
 
-// SetDown makes every call answer 503 without effect.
+// SetDown makes every call return 503 without effect.
 func (s *Server) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -24,33 +24,33 @@
 	s.notify()
 }
 
-// SetUnresponsive makes every call wait without effect until the switch is off again
-// or the client gives up; it is then dropped unanswered.
-func (s *Server) SetUnresponsive(silent bool) {
+// SetUnresponsive makes every call wait without effect until the next SetUnresponsive
+// or until the client cancels the call. The connection then breaks without a reply.
+func (s *Server) SetUnresponsive(unresponsive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.faults.silent != nil {
-		close(s.faults.silent)
-		s.faults.silent = nil
+	if s.faults.unresponsive != nil {
+		close(s.faults.unresponsive)
+		s.faults.unresponsive = nil
 	}
-	if silent {
-		s.faults.silent = make(chan struct{})
+	if unresponsive {
+		s.faults.unresponsive = make(chan struct{})
 	}
 }
 
-// SetDelay delays every call.
+// SetDelay delays every call by the given time.
 func (s *Server) SetDelay(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults.slow = delay
+	s.faults.delay = delay
 }
 
-// DropWriteReplies makes the next n writes of keys take effect unanswered: the
-// connection breaks.
+// DropWriteReplies makes the next n writes of keys break the connection without a
+// reply, after the write is applied or rejected by the revision check.
 func (s *Server) DropWriteReplies(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults.loseAnswers = n
+	s.faults.dropWriteReplies = n
 }
 
 // DropWrites makes the next n writes of keys break the connection without
@@ -68,51 +68,51 @@
 	s.faults.dropReads = n
 }
 
-// SetStaleReads makes reads and watches answer from the state of this moment on;
-// writes go on against the true state.
+// SetStaleReads freezes the state that reads and watches return while stale is true.
+// Writes still apply to the current state.
 func (s *Server) SetStaleReads(stale bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.past = nil
+	s.staleKeys = nil
 	if stale {
-		s.past = maps.Clone(s.keys)
+		s.staleKeys = maps.Clone(s.keys)
 	}
 	s.notify()
 }
 
-// SetVMs replaces the VM list; readers see it after the lag.
+// SetVMs replaces the VM list. Readers see the new list after the lag.
 func (s *Server) SetVMs(vms []VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lists = append(s.lists, vmList{vms: vms, since: time.Now()})
+	s.lists = append(s.lists, vmList{vms: vms, setAt: time.Now()})
 }
 
-// SetVMLag changes how long a change of the VM list stays unseen.
+// SetVMLag sets the delay before a change of the VM list becomes visible.
 func (s *Server) SetVMLag(lag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.vmLag = lag
 }
 
-// admit applies the faults that hold for every call. False when the call has
-// been answered or dropped.
-func (s *Server) admit(w http.ResponseWriter, r *http.Request, count func(*Calls)) bool {
+// applyFaults counts a call and applies the faults that affect every call. It returns
+// false if it sent the reply.
+func (s *Server) applyFaults(w http.ResponseWriter, r *http.Request, count func(*Calls)) bool {
 	s.mu.Lock()
 	count(&s.calls)
 	f := s.faults
 	s.mu.Unlock()
-	if f.silent != nil {
+	if f.unresponsive != nil {
 		select {
-		case <-f.silent:
+		case <-f.unresponsive:
 		case <-r.Context().Done():
 		}
-		hangUp()
+		dropConnection()
 	}
-	if f.slow > 0 {
+	if f.delay > 0 {
 		select {
-		case <-time.After(f.slow):
+		case <-time.After(f.delay):
 		case <-r.Context().Done():
-			hangUp()
+			dropConnection()
 		}
 	}
 	if f.down {
@@ -122,13 +122,14 @@
 	return true
 }
 
-// hangUp breaks the connection without an answer.
-func hangUp() {
+// dropConnection breaks the connection without a reply.
+func dropConnection() {
 	panic(http.ErrAbortHandler)
 }
 
-// take uses up one of the counted faults. Called with the server's mu held.
-func take(n *int) bool {
+// takeFault consumes one occurrence of a counted fault. It returns false if none is
+// left. Caller holds the server's mu.
+func takeFault(n *int) bool {
 	if *n <= 0 {
 		return false
 	}
--- a/standin/platform/handlers.go
+++ b/standin/platform/handlers.go
@@ -15,15 +15,15 @@
 		s.watch(w, r)
 		return
 	}
-	if !s.admit(w, r, func(c *Calls) { c.Reads++ }) {
+	if !s.applyFaults(w, r, func(c *Calls) { c.Reads++ }) {
 		return
 	}
 	s.mu.Lock()
-	drop := take(&s.faults.dropReads)
+	drop := takeFault(&s.faults.dropReads)
 	e, ok := s.read(r.URL.Query().Get("key"))
 	s.mu.Unlock()
 	if drop {
-		hangUp()
+		dropConnection()
 	}
 	if !ok {
 		http.Error(w, "no such key", http.StatusNotFound)
@@ -33,7 +33,7 @@
 }
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
-	if !s.admit(w, r, func(c *Calls) { c.Watches++ }) {
+	if !s.applyFaults(w, r, func(c *Calls) { c.Watches++ }) {
 		return
 	}
 	after, ok := uintParam(w, r, "after")
@@ -70,12 +70,12 @@
 	}
 }
 
-// read returns what a reader sees, which may be the past. Called with mu held.
+// read returns the entry that a reader sees, which may be stale. Caller holds mu.
 func (s *Server) read(key string) (entry, bool) {
-	s.expire(time.Now())
+	s.expireLeases(time.Now())
 	keys := s.keys
-	if s.past != nil {
-		keys = s.past
+	if s.staleKeys != nil {
+		keys = s.staleKeys
 	}
 	e, ok := keys[key]
 	return e, ok
@@ -87,7 +87,7 @@
 		http.Error(w, "body cut off", http.StatusBadRequest)
 		return
 	}
-	if !s.admit(w, r, func(c *Calls) { c.Writes++ }) {
+	if !s.applyFaults(w, r, func(c *Calls) { c.Writes++ }) {
 		return
 	}
 	if len(value) > MaxValueBytes {
@@ -104,10 +104,10 @@
 			return
 		}
 	}
-	written, status, lost := s.swap(r.URL.Query().Get("key"), revision, leaseID, value)
+	written, status, dropReply := s.compareAndSwap(r.URL.Query().Get("key"), revision, leaseID, value)
 	switch {
-	case lost:
-		hangUp()
+	case dropReply:
+		dropConnection()
 	case status != http.StatusOK:
 		http.Error(w, http.StatusText(status), status)
 	default:
@@ -115,29 +115,29 @@
 	}
 }
 
-// swap is the compare-and-swap with its faults; lost tells that the answer must
-// not be given.
-func (s *Server) swap(key string, revision, leaseID uint64, value []byte) (written uint64, status int, lost bool) {
+// compareAndSwap writes a value if the key is at the given revision. dropReply is
+// true if an injected fault requires breaking the connection without a reply.
+func (s *Server) compareAndSwap(key string, revision, leaseID uint64, value []byte) (written uint64, status int, dropReply bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if take(&s.faults.dropWrites) {
+	if takeFault(&s.faults.dropWrites) {
 		return 0, 0, true
 	}
-	s.expire(time.Now())
+	s.expireLeases(time.Now())
 	if leaseID != 0 && s.leases[leaseID] == nil {
 		return 0, http.StatusNotFound, false
 	}
 	if s.keys[key].revision != revision {
-		return 0, http.StatusConflict, take(&s.faults.loseAnswers)
+		return 0, http.StatusConflict, takeFault(&s.faults.dropWriteReplies)
 	}
 	s.revision++
 	s.keys[key] = entry{value: value, revision: s.revision, lease: leaseID}
 	s.notify()
-	return s.revision, http.StatusOK, take(&s.faults.loseAnswers)
+	return s.revision, http.StatusOK, takeFault(&s.faults.dropWriteReplies)
 }
 
-func (s *Server) grant(w http.ResponseWriter, r *http.Request) {
-	if !s.admit(w, r, func(c *Calls) { c.Leases++ }) {
+func (s *Server) grantLease(w http.ResponseWriter, r *http.Request) {
+	if !s.applyFaults(w, r, func(c *Calls) { c.Leases++ }) {
 		return
 	}
 	ttl, ok := uintParam(w, r, "ttl_ms")
@@ -156,17 +156,17 @@
 	}{id})
 }
 
-func (s *Server) keepAlive(w http.ResponseWriter, r *http.Request) {
+func (s *Server) renewLease(w http.ResponseWriter, r *http.Request) {
 	s.withLease(w, r, func(_ uint64, l *lease) { l.expires = time.Now().Add(l.ttl) })
 }
 
-func (s *Server) revoke(w http.ResponseWriter, r *http.Request) {
-	s.withLease(w, r, func(id uint64, _ *lease) { s.drop(id) })
+func (s *Server) revokeLease(w http.ResponseWriter, r *http.Request) {
+	s.withLease(w, r, func(id uint64, _ *lease) { s.deleteLease(id) })
 }
 
-// withLease runs do with mu held on a lease that has not lapsed.
-func (s *Server) withLease(w http.ResponseWriter, r *http.Request, do func(uint64, *lease)) {
-	if !s.admit(w, r, func(c *Calls) { c.Leases++ }) {
+// withLease calls apply with mu held if the lease exists and has not expired.
+func (s *Server) withLease(w http.ResponseWriter, r *http.Request, apply func(uint64, *lease)) {
+	if !s.applyFaults(w, r, func(c *Calls) { c.Leases++ }) {
 		return
 	}
 	id, ok := uintParam(w, r, "id")
@@ -174,10 +174,10 @@
 		return
 	}
 	s.mu.Lock()
-	s.expire(time.Now())
+	s.expireLeases(time.Now())
 	l := s.leases[id]
 	if l != nil {
-		do(id, l)
+		apply(id, l)
 	}
 	s.mu.Unlock()
 	if l == nil {
@@ -186,20 +186,20 @@
 }
 
 func (s *Server) listVMs(w http.ResponseWriter, r *http.Request) {
-	if !s.admit(w, r, func(c *Calls) { c.VMLists++ }) {
+	if !s.applyFaults(w, r, func(c *Calls) { c.VMLists++ }) {
 		return
 	}
 	s.mu.Lock()
-	seen := s.lists[0].vms
+	visible := s.lists[0].vms
 	for _, l := range s.lists[1:] {
-		if time.Since(l.since) >= s.vmLag {
-			seen = l.vms
+		if time.Since(l.setAt) >= s.vmLag {
+			visible = l.vms
 		}
 	}
 	s.mu.Unlock()
 	writeJSON(w, struct {
 		VMs []VM `json:"vms"`
-	}{seen})
+	}{visible})
 }
 
 func writeEntry(w http.ResponseWriter, e entry) {
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,20 +1,20 @@
-// Package platform stands in for the platform's key-value service and VM list
-// in tests and in the demo. It keeps everything in memory.
+// Package platform is an in-memory stand-in for the platform's key-value service and
+// VM list, for tests and the demo.
 //
-// The HTTP shape, which is the platform's own:
+// It implements the platform's HTTP API:
 //
 //	GET    /v1/kv?key=K                           value, Platform-Revision; 404
-//	GET    /v1/kv?key=K&after=R&wait_ms=W         the same once the revision is
-//	                                              above R; 304 after W
+//	GET    /v1/kv?key=K&after=R&wait_ms=W         the same as soon as the revision
+//	                                              exceeds R; 304 after W
 //	PUT    /v1/kv?key=K&revision=R[&lease=L]      writes if K is at revision R
 //	                                              (0: absent); 409, 413, 404 (lease)
 //	POST   /v1/leases?ttl_ms=T                    {"id": L}
-//	PUT    /v1/leases?id=L                        keeps alive; 404 when lapsed
-//	DELETE /v1/leases?id=L                        drops the lease and its keys
+//	PUT    /v1/leases?id=L                        renews the lease; 404 if expired
+//	DELETE /v1/leases?id=L                        deletes the lease and its keys
 //	GET    /v1/vms                                {"vms": [{name, data_centre,
 //	                                              peer_address, leaving}]}
 //
-// 503 means that the service did nothing.
+// Status 503 means that the call had no effect.
 package platform
 
 import (
@@ -26,13 +26,13 @@
 	"github.com/pkg/errors"
 )
 
-// MaxValueBytes is the largest value taken.
+// MaxValueBytes is the maximum size of a value.
 const MaxValueBytes = 1 << 20
 
-// maxWatchWait bounds how long a watch waits.
+// maxWatchWait limits the duration of a watch.
 const maxWatchWait = time.Minute
 
-// VM is one line of the VM list.
+// VM is one entry of the VM list.
 type VM struct {
 	Name        string `json:"name"`
 	DataCentre  string `json:"data_centre"`
@@ -40,7 +40,8 @@
 	Leaving     bool   `json:"leaving"`
 }
 
-// Calls counts what the service was asked since it started, faults included.
+// Calls counts the calls received since the server was created, including those that
+// met an injected fault.
 type Calls struct {
 	Reads   uint64
 	Writes  uint64
@@ -49,16 +50,16 @@
 	VMLists uint64
 }
 
-// Total returns the number of all calls; a waiting watch is one.
+// Total returns the number of all calls. A watch counts as one call.
 func (c Calls) Total() uint64 {
 	return c.Reads + c.Writes + c.Watches + c.Leases + c.VMLists
 }
 
-// Options of a server; the zero value serves.
+// Options configures a server. The zero value is valid.
 type Options struct {
-	// VMs is the list at start.
+	// VMs is the initial VM list.
 	VMs []VM
-	// VMLag is how long a change of the VM list stays unseen.
+	// VMLag is the delay before a change of the VM list becomes visible.
 	VMLag time.Duration
 }
 
@@ -74,32 +75,33 @@
 }
 
 type vmList struct {
-	vms   []VM
-	since time.Time
+	vms []VM
+	// setAt is when the list was set; it becomes visible after the lag.
+	setAt time.Time
 }
 
-// Server is the stand-in. Safe for concurrent use; mu guards all fields below
-// it.
+// Server is the stand-in for the platform. Safe for concurrent use; mu guards the
+// fields below it.
 type Server struct {
 	mux *http.ServeMux
 
 	mu       sync.Mutex
 	revision uint64
 	keys     map[string]entry
-	// past is what stale reads are answered from; nil when reads are true.
-	past   map[string]entry
-	leases map[uint64]*lease
-	lists  []vmList
-	vmLag  time.Duration
-	faults faults
-	calls  Calls
-	// changed is closed and replaced at each change of keys.
+	// staleKeys is the state that stale reads return; nil while reads are current.
+	staleKeys map[string]entry
+	leases    map[uint64]*lease
+	lists     []vmList
+	vmLag     time.Duration
+	faults    faults
+	calls     Calls
+	// changed is closed and replaced to wake the watches.
 	changed chan struct{}
 	server  *http.Server
 	url     string
 }
 
-// New returns a server that serves by ServeHTTP, or by Start on its own port.
+// New returns a server. Use it as an http.Handler, or call Start or Serve.
 func New(o Options) *Server {
 	s := &Server{
 		mux:     http.NewServeMux(),
@@ -111,9 +113,9 @@
 	}
 	s.mux.HandleFunc("GET /v1/kv", s.get)
 	s.mux.HandleFunc("PUT /v1/kv", s.put)
-	s.mux.HandleFunc("POST /v1/leases", s.grant)
-	s.mux.HandleFunc("PUT /v1/leases", s.keepAlive)
-	s.mux.HandleFunc("DELETE /v1/leases", s.revoke)
+	s.mux.HandleFunc("POST /v1/leases", s.grantLease)
+	s.mux.HandleFunc("PUT /v1/leases", s.renewLease)
+	s.mux.HandleFunc("DELETE /v1/leases", s.revokeLease)
 	s.mux.HandleFunc("GET /v1/vms", s.listVMs)
 	return s
 }
@@ -123,18 +125,18 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// Start serves on addr (127.0.0.1:0 for any free port) and returns the base
-// URL. Close stops it.
+// Start listens on addr ("127.0.0.1:0" picks a free port), serves until Close and
+// returns the base URL.
 func (s *Server) Start(addr string) (string, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
-		return "", errors.Wrap(err, "listen for the platform stand-in")
+		return "", errors.Wrap(err, "platform stand-in: listen")
 	}
 	return s.Serve(l), nil
 }
 
-// Serve is Start on a listener that is open already. It returns the base URL at
-// once.
+// Serve serves on an open listener until Close, in the background. It returns the
+// base URL at once.
 func (s *Server) Serve(l net.Listener) string {
 	server := &http.Server{Handler: s, ReadHeaderTimeout: time.Minute}
 	url := "http://" + l.Addr().String()
@@ -152,7 +154,7 @@
 	return s.url
 }
 
-// Close stops a started server and cuts its connections.
+// Close stops a started server and closes its connections.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	server := s.server
@@ -160,43 +162,43 @@
 	if server == nil {
 		return nil
 	}
-	return errors.Wrap(server.Close(), "close the platform stand-in")
+	return errors.Wrap(server.Close(), "platform stand-in: close")
 }
 
-// Calls returns the counts so far.
+// Calls returns a copy of the counters.
 func (s *Server) Calls() Calls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Value returns what a key holds now, nil when absent.
+// Value returns the current value of a key, or nil if the key does not exist.
 func (s *Server) Value(key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire(time.Now())
+	s.expireLeases(time.Now())
 	return s.keys[key].value
 }
 
-// Len returns the number of keys held.
+// Len returns the number of keys.
 func (s *Server) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire(time.Now())
+	s.expireLeases(time.Now())
 	return len(s.keys)
 }
 
-// expire drops lapsed leases with their keys. Called with mu held.
-func (s *Server) expire(now time.Time) {
+// expireLeases deletes expired leases and their keys. Caller holds mu.
+func (s *Server) expireLeases(now time.Time) {
 	for id, l := range s.leases {
 		if now.After(l.expires) {
-			s.drop(id)
+			s.deleteLease(id)
 		}
 	}
 }
 
-// drop removes a lease and its keys. Called with mu held.
-func (s *Server) drop(id uint64) {
+// deleteLease deletes a lease and its keys. Caller holds mu.
+func (s *Server) deleteLease(id uint64) {
 	delete(s.leases, id)
 	for key, e := range s.keys {
 		if e.lease == id {
@@ -206,7 +208,7 @@
 	}
 }
 
-// notify wakes the watches. Called with mu held.
+// notify wakes the watches. Caller holds mu.
 func (s *Server) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
