--- a/policy/retrybudget/retrybudget.go
+++ b/policy/retrybudget/retrybudget.go
@@ -22,12 +22,12 @@
 	// are counted over one bucket less, which is at most a window. So the bound also
 	// holds in windows that do not start at the start of a bucket.
 	bucketCount = 20
-	// ratioMargin is the fraction of the ratio that nodes use. The remainder covers
+	// usableRatio is the fraction of the ratio that nodes use. The remainder covers
 	// requests that were counted although their callers had already left.
-	ratioMargin = 0.9
-	// slackMargin is the fraction of the slack that nodes use. The remainder covers
+	usableRatio = 0.9
+	// usableSlack is the fraction of the slack that nodes use. The remainder covers
 	// nodes that joined but are not in every node's fleet size yet.
-	slackMargin = 0.72
+	usableSlack = 0.72
 	// initialSlackShare is the fraction of a node's slack that is available at its start.
 	// The remainder becomes available over the first window.
 	initialSlackShare = 0.6
@@ -68,7 +68,7 @@
 }
 
 // OptionalUsed returns the fraction, 0 to 1, of the budget for TakeOptional that hedges
-// and retries have used.
+// and retries have used. It is 1 while that budget is below one request.
 func (b *Budget) OptionalUsed(now time.Time, size float64) float64 {
 	granted := optionalShare * b.allowed(now, b.advance(now), size)
 	if granted < 1 {
@@ -98,8 +98,8 @@
 		}
 	}
 	age := min(1, float64(now.Sub(b.started))/float64(b.bound.Window))
-	slack := slackMargin * b.bound.Slack / max(size, 1) * (initialSlackShare + (1-initialSlackShare)*age)
-	return ratioMargin*b.bound.Ratio*float64(requests) + slack
+	slack := usableSlack * b.bound.Slack / max(size, 1) * (initialSlackShare + (1-initialSlackShare)*age)
+	return usableRatio*b.bound.Ratio*float64(requests) + slack
 }
 
 func (b *Budget) spent() int {
