--- a/policy/configstate/configstate.go
+++ b/policy/configstate/configstate.go
@@ -86,9 +86,9 @@
 }
 
 // IsWatcher reports whether self is one of the nodes of its data centre that watch
-// the platform's key. Each node computes this from its own member table. While the
-// tables differ, more or fewer nodes than the parameter watchers may watch, which is
-// harmless.
+// the platform's key. usable lists the usable nodes of that data centre. Each node
+// computes this from its own member table. While the tables differ, more or fewer nodes
+// than the parameter watchers may watch, which is harmless.
 func IsWatcher(self string, dataCentre string, usable []string, watchers int) bool {
 	ranked := ownership.Rank("watch/"+dataCentre, usable)
 	if len(ranked) > watchers {
