--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -25,7 +25,7 @@
 	// from its reserved share.
 	maxCredit = 4
 	// probeInterval is the time without an admitted query after which one query is
-	// admitted even though its expected latency exceeds its deadline.
+	// admitted even though its expected latency exceeds its remaining time.
 	probeInterval = time.Second
 )
 
@@ -144,8 +144,9 @@
 // in the bucket for the classes above it. A higher class can use these tokens
 // immediately, so it displaces lower classes without a queue.
 //
-// A lower class may also spend credit from its reserved share. Without that share it
-// would starve while higher classes use the whole rate.
+// A lower class may also spend credit from its reserved share, and hasCapacity then
+// consumes that credit. Without the share, the class would starve while higher classes
+// use the whole rate.
 func (a *Controller) hasCapacity(class int) bool {
 	if a.running >= a.params.MaxRunning || !a.rate.hasToken(0, a.running) {
 		return false
--- a/policy/admission/latency.go
+++ b/policy/admission/latency.go
@@ -14,7 +14,8 @@
 // mix as load.
 type classLatency struct {
 	// recent is the moving average of the latency. unloaded is the lowest value of
-	// recent since the last rebase. Both are in seconds.
+	// recent since the class had minSamples samples or since the last rebase. Both are
+	// in seconds.
 	recent, unloaded float64
 	samples          int
 }
--- a/policy/admission/rate.go
+++ b/policy/admission/rate.go
@@ -27,7 +27,9 @@
 	// drainFactor is the share of the delivered rate that is admitted while queues
 	// drain. growthPerSecond is the growth of the rate while queues are short.
 	// fastGrowthPerSecond applies while there are no queues or the highest class is
-	// refused. The rate grows up to headroomFactor times the delivered rate.
+	// refused. While queries are refused, the rate grows up to headroomFactor times the
+	// best rate of recent windows. Otherwise it is at least headroomFactor times the
+	// delivered rate.
 	drainFactor         = 0.9
 	growthPerSecond     = 1.15
 	fastGrowthPerSecond = 2
@@ -198,8 +200,9 @@
 	r.limit = max(r.limit, min(increased, max(headroomFactor*r.peakRate, minRate)))
 }
 
-// decrease sets the rate below the delivered rate, so that queues drain. If latency
-// stays high after the rate has halved, load is not the cause: the service has become
+// decrease reduces the rate to drainFactor times the delivered rate, so that queues
+// drain, but not below peakShare of the best rate of recent windows. If latency stays
+// high after the rate has halved, load is not the cause: the service has become
 // slower. Its current latency then becomes the new unloaded latency. Otherwise the
 // rate would fall until no queries are served.
 func (r *rate) decrease(delivered float64) {
