--- a/policy/bench/cold_test.go
+++ b/policy/bench/cold_test.go
@@ -16,8 +16,8 @@
 
 // A replica becomes cold while 8 nodes send to it: by a restart, after downtime, or
 // with its connections open. More than one concurrent request would overload it. If
-// connections stay open, the first late answer is the only signal, and the test
-// bounds the number of requests sent until then.
+// connections stay open, late answers are the only signal, and the test bounds the
+// number of requests sent before the signal takes effect.
 func TestColdReplicaIsNotOverloaded(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -59,10 +59,10 @@
 
 // shareAfter returns the time from reachableAt to the first full second in which
 // the replica accepts at least half the mean number of requests of the other
-// replicas of its shard.
-func shareAfter(r *bench.Result, replica, replicas int, back time.Duration) time.Duration {
+// replicas of its shard. It returns an hour if there is no such second.
+func shareAfter(r *bench.Result, replica, replicas int, reachableAt time.Duration) time.Duration {
 	first := replica / replicas * replicas
-	for second := int(back/time.Second) + 1; second < len(r.Servers[replica].AcceptedPerSecond); second++ {
+	for second := int(reachableAt/time.Second) + 1; second < len(r.Servers[replica].AcceptedPerSecond); second++ {
 		others := 0
 		for i := first; i < first+replicas; i++ {
 			if i != replica && second < len(r.Servers[i].AcceptedPerSecond) {
@@ -71,7 +71,7 @@
 		}
 		mean := float64(others) / float64(replicas-1)
 		if float64(r.Servers[replica].AcceptedPerSecond[second]) >= mean/2 {
-			return time.Duration(second)*time.Second - back
+			return time.Duration(second)*time.Second - reachableAt
 		}
 	}
 	return time.Hour
@@ -126,8 +126,8 @@
 	return bench.Run(s)
 }
 
-// Exclusive ownership with one request in flight reduces capacity. The rates are the
-// highest that each mode sustains.
+// Guards against a loss of capacity with shared or with exclusive ownership. Exclusive
+// ownership with one request in flight sustains a much lower rate.
 func TestCapacityWithExclusiveOwner(t *testing.T) {
 	t.Parallel()
 	figures := map[string]float64{}
--- a/policy/bench/node.go
+++ b/policy/bench/node.go
@@ -68,11 +68,11 @@
 	ended   bool
 }
 
-func newNode(r *simulation, index int) *node {
-	s := r.scenario
+func newNode(sim *simulation, index int) *node {
+	s := sim.scenario
 	rng := rand.New(rand.NewPCG(s.Seed, uint64(100+index)))
 	return &node{
-		sim: r, index: index, dc: index % dataCentres, rng: rng,
+		sim: sim, index: index, dc: index % dataCentres, rng: rng,
 		routing:   routing.New(rng),
 		admission: admission.New(admission.Params{}),
 		hedges:    hedge.NewBudget(5, max(10, s.Shards/10)),
--- a/policy/bench/overload_test.go
+++ b/policy/bench/overload_test.go
@@ -39,18 +39,18 @@
 // and issued only for queries that no server ran.
 func TestGoodputIsSustainedUnderOverload(t *testing.T) {
 	t.Parallel()
-	one, half, three := runOverload(t, 1, true), runOverload(t, 1.5, true), runOverload(t, 3, true)
+	one, oneAndHalf, three := runOverload(t, 1, true), runOverload(t, 1.5, true), runOverload(t, 3, true)
 	step := runOverload(t, 3, false)
 	bounds.Check(t, boundsFile, "overload", map[string]float64{
 		"goodput-1x":         one.Goodput() / capacity,
-		"goodput-1.5x":       half.Goodput() / one.Goodput(),
+		"goodput-1.5x":       oneAndHalf.Goodput() / one.Goodput(),
 		"goodput-3x":         three.Goodput() / one.Goodput(),
-		"high-p99-1.5x":      ratio(bench.Quantile(half.High, 0.99), bench.Quantile(one.High, 0.99)),
+		"high-p99-1.5x":      ratio(bench.Quantile(oneAndHalf.High, 0.99), bench.Quantile(one.High, 0.99)),
 		"high-p99-3x":        ratio(bench.Quantile(three.High, 0.99), bench.Quantile(one.High, 0.99)),
 		"high-complete-3x":   highCompleteRatio(three),
 		"step-high-p99-ms":   float64(bench.Quantile(step.High, 0.99).Milliseconds()),
 		"step-high-complete": highCompleteRatio(step),
-		"false-not-run":      float64(one.FalseNotRun + half.FalseNotRun + three.FalseNotRun + step.FalseNotRun),
+		"false-not-run":      float64(one.FalseNotRun + oneAndHalf.FalseNotRun + three.FalseNotRun + step.FalseNotRun),
 		"slowest-refusal-ms": float64(max(one.SlowestRefusal, three.SlowestRefusal, step.SlowestRefusal).Milliseconds()),
 	})
 }
--- a/policy/bench/owner.go
+++ b/policy/bench/owner.go
@@ -40,7 +40,8 @@
 	extra   bool
 	reply   *pb.SubrequestResult
 	done    func(*pb.SubrequestResult)
-	// start is the time at which the task acquired a concurrency slot.
+	// start is the time at which the task was sent to the server. With the Carobmill
+	// policy, the task holds a concurrency slot from then on.
 	start time.Time
 }
 
@@ -69,11 +70,12 @@
 func (o *ownedReplica) refuse(t *task, reason pb.Reason) {
 	t.reply.Reason = reason
 	t.reply.Evidence = pb.Evidence_EVIDENCE_NOT_RUN
-	t.reply.News = o.status()
+	t.reply.News = o.report()
 	t.done(t.reply)
 }
 
-// send forwards a task that holds a concurrency slot to the server.
+// send forwards a task to the server. With the Carobmill policy, the task must hold a
+// concurrency slot.
 func (o *ownedReplica) send(t *task) {
 	loop := o.node.sim.loop
 	t.start = loop.now()
@@ -83,7 +85,7 @@
 				o.complete(t.start, answer)
 			}
 			fillReply(t.reply, answer)
-			t.reply.News = o.status()
+			t.reply.News = o.report()
 			t.done(t.reply)
 		})
 	}}
@@ -122,7 +124,7 @@
 	}
 }
 
-// complete releases a request's slot and reports the outcome to the limiter.
+// complete releases the slot of a task and reports the outcome to the limiter.
 func (o *ownedReplica) complete(start time.Time, answer serverReply) {
 	now := o.node.sim.loop.now()
 	sample := limit.Sample{Latency: now.Sub(start), PeerLatency: o.node.warmLatencies.At(0.5)}
@@ -146,7 +148,8 @@
 	o.dispatchQueued()
 }
 
-// cancelAtOwner cancels a subrequest at the owner and, if it was sent, at the server.
+// cancelAtOwner cancels a subrequest at the owner and, if it was sent, at the server. A
+// request that its limiter requires to run to completion is not cancelled.
 func (n *node) cancelAtOwner(a *attempt, replica *config.Replica) {
 	o := n.owned[replica.Name]
 	if i := slices.Index(o.queue, a.task); i >= 0 {
@@ -175,7 +178,7 @@
 	o.dispatchQueued()
 }
 
-func (o *ownedReplica) status() *pb.ReplicaNews {
+func (o *ownedReplica) report() *pb.ReplicaNews {
 	return &pb.ReplicaNews{
 		Replica: o.replica.Name, State: o.limiter.State(),
 		InFlight: uint32(o.limiter.InFlight()), Limit: uint32(o.limiter.Limit()),
--- a/policy/bench/rollout.go
+++ b/policy/bench/rollout.go
@@ -48,20 +48,20 @@
 )
 
 // scheduleRollouts schedules all rollouts of the run.
-func (r *simulation) scheduleRollouts() {
-	rollout := r.scenario.Rollout
+func (sim *simulation) scheduleRollouts() {
+	rollout := sim.scenario.Rollout
 	if rollout.Every == 0 {
 		return
 	}
-	rng := rand.New(rand.NewPCG(r.scenario.Seed, 2))
-	queries := float64(r.scenario.uncounted() + r.scenario.Queries)
-	end := time.Duration(queries / r.scenario.Rate * float64(time.Second))
+	rng := rand.New(rand.NewPCG(sim.scenario.Seed, 2))
+	queries := float64(sim.scenario.uncounted() + sim.scenario.Queries)
+	end := time.Duration(queries / sim.scenario.Rate * float64(time.Second))
 	for i := 1; time.Duration(i)*rollout.Every < end; i++ {
-		for position, server := range r.servers {
-			waveStart := time.Duration(position%r.scenario.Replicas) * rollout.Wave
+		for position, server := range sim.servers {
+			waveStart := time.Duration(position%sim.scenario.Replicas) * rollout.Wave
 			server.ignoresSnapshot = rollout.WrongSnapshotEvery > 0 && position%rollout.WrongSnapshotEvery == 0
 			offset := time.Duration(rng.Int64N(int64(rollout.Wave)))
-			r.loop.after(time.Duration(i)*rollout.Every+waveStart+offset, func() { server.held++ })
+			sim.loop.after(time.Duration(i)*rollout.Every+waveStart+offset, func() { server.held++ })
 		}
 	}
 }
@@ -73,22 +73,22 @@
 
 // checkSnapshots counts an answer that was restarted or that contains a row of
 // another snapshot than its own.
-func (r *simulation) checkSnapshots(answer *query.Answer) {
+func (sim *simulation) checkSnapshots(answer *query.Answer) {
 	if answer.Stats.Restarts > 0 {
-		r.result.Restarted++
+		sim.result.Restarted++
 	}
 	for _, row := range answer.Results {
 		if string(row.Body) != string(resultBody(answer.Snapshot)) {
-			r.result.Mixed++
+			sim.result.Mixed++
 			return
 		}
 	}
 }
 
-func (n *node) recordSnapshot(status *pb.ReplicaNews) {
-	n.newest = max(n.newest, status.GetNewestSnapshot())
-	n.snapshots.Update(status.GetReplica(), snapshot.Range{
-		Oldest: status.GetOldestSnapshot(), Newest: status.GetNewestSnapshot(),
+func (n *node) recordSnapshot(report *pb.ReplicaNews) {
+	n.newest = max(n.newest, report.GetNewestSnapshot())
+	n.snapshots.Update(report.GetReplica(), snapshot.Range{
+		Oldest: report.GetOldestSnapshot(), Newest: report.GetNewestSnapshot(),
 	})
 }
 
--- a/policy/bench/scenario.go
+++ b/policy/bench/scenario.go
@@ -19,7 +19,8 @@
 	Nodes    int
 	Shards   int
 	Replicas int
-	Slots    int
+	// Slots is the number of requests that a replica runs concurrently.
+	Slots int
 	// ColdInFlight is the concurrency limit of a cold replica.
 	ColdInFlight int
 	// Exclusive is set if replicas have silent cold starts. Only one owner sends to
@@ -50,8 +51,11 @@
 
 // Fault is a failure injected into one replica.
 type Fault struct {
-	At      time.Duration
-	Kind    FaultKind
+	// At is the virtual time since the start of the run.
+	At   time.Duration
+	Kind FaultKind
+	// Replica is the index of the replica, counted over the replicas of all shards in
+	// order.
 	Replica int
 	// Downtime is the time for which FaultDown refuses connections.
 	Downtime time.Duration
--- a/policy/bench/server.go
+++ b/policy/bench/server.go
@@ -35,7 +35,8 @@
 type serverReply struct {
 	reason      pb.Reason
 	incarnation int
-	// snapshot is the one that was served, held the one that the server holds.
+	// snapshot is the snapshot that was served, and held the one that the server holds.
+	// Either is 0 if the reply does not contain it.
 	snapshot, held uint64
 }
 
@@ -58,7 +59,8 @@
 	// another snapshot.
 	ignoresSnapshot bool
 	// coldRemaining is the number of requests to serve until the server is warm.
-	// coldLimit is its concurrency limit until then.
+	// coldLimit is its concurrency limit until then. The server does not enforce the
+	// limit, but slows down above it.
 	coldRemaining int
 	coldLimit     int
 
