--- a/policy/coordinator/coordinator.go
+++ b/policy/coordinator/coordinator.go
@@ -41,12 +41,14 @@
 	// unconfirmedPenaltySeconds makes a node prefer coordinators with a recent heartbeat.
 	unconfirmedPenaltySeconds = 0.005
 	// heartbeatFreshFor is the age up to which an answered heartbeat shows that the
-	// coordinator is reachable. Heartbeats take 0.3 s.
+	// coordinator is reachable. A coordinator may hold a heartbeat for 0.3 s before it
+	// answers.
 	heartbeatFreshFor = 1500 * time.Millisecond
 	// offerWeight is the EWMA weight of a new offer.
 	offerWeight = 0.2
-	// rankSpread distributes nodes over equal coordinators, and makes each node stay with
-	// one of them. It is a share of the cost and stays below remotePenaltySeconds.
+	// rankSpread is the largest share that the rank adds to the cost. The rank distributes
+	// nodes over equal coordinators, and makes each node stay with one of them. The added
+	// cost stays below remotePenaltySeconds.
 	rankSpread = 0.1
 	// minBackoff and maxBackoff bound the time before a failed coordinator is probed. The
 	// probe is a heartbeat, so that no request is spent on it.
@@ -153,7 +155,7 @@
 }
 
 // Pick returns the coordinator with the lowest expected delay, and its condition. It
-// skips the coordinators in tried.
+// skips the coordinators in tried and those with failures. ok is false when none is left.
 func (t *Table) Pick(now time.Time, tried map[string]bool) (m Member, c Condition, ok bool) {
 	isolated := t.Isolated(now)
 	var best *peer
@@ -217,8 +219,9 @@
 	return float64(h.Sum32()) / (1 << 32)
 }
 
-// NextProbe returns an unused coordinator that needs a heartbeat now: one with failures,
-// or, while the own data centre is isolated, one without a recent heartbeat.
+// NextProbe returns a coordinator that needs a heartbeat now: one with failures whose
+// backoff has ended, or, while the own data centre is isolated, one without a recent
+// heartbeat.
 func (t *Table) NextProbe(now time.Time) (Member, bool) {
 	isolated := t.Isolated(now)
 	var next *peer
--- a/policy/coordinator/neighbours.go
+++ b/policy/coordinator/neighbours.go
@@ -48,8 +48,8 @@
 	return picked, found > 0
 }
 
-// NextProbe returns a failed node that needs a heartbeat now. It removes failed nodes that
-// have left the fleet.
+// NextProbe returns a failed node that needs a heartbeat now, and schedules the next
+// heartbeat to it. It removes failed nodes that have left the fleet.
 func (n *Neighbours) NextProbe(now time.Time, f Fleet) (Member, bool) {
 	members := make(map[string]bool, len(f.Members))
 	for _, m := range f.Members {
--- a/policy/coordinator/size.go
+++ b/policy/coordinator/size.go
@@ -7,7 +7,7 @@
 	// registration can be revoked while its node still runs. Budgets divided among too
 	// few nodes would exceed the limit of the fleet.
 	registrationGrace = 25 * time.Second
-	// DefaultFleetSize is the assumed fleet size while no registration is available.
+	// DefaultFleetSize is the assumed size of a fleet whose members are not available.
 	DefaultFleetSize = 16
 )
 
@@ -70,7 +70,9 @@
 }
 
 // SizeFor returns the capacity of the fleet divided by that of the node, at least 1.
-// The node's share of a fleet-wide limit is the limit divided by this number.
+// The node's share of a fleet-wide limit is the limit divided by this number. A node that
+// is not a member yet counts in addition. The result is DefaultFleetSize if the fleet has
+// no members or the node has no capacity.
 func (f Fleet) SizeFor(own Member) float64 {
 	if own.Capacity <= 0 || len(f.Members) == 0 {
 		return DefaultFleetSize
