--- a/policy/dispatch/action.go
+++ b/policy/dispatch/action.go
@@ -80,7 +80,7 @@
 	// Repeated is set if the outcome is that of an earlier submission with the same
 	// key.
 	Repeated bool
-	// RetryAfter is the delay after which the caller should retry. It is 0 if a retry
-	// cannot succeed.
+	// RetryAfter is the delay after which the caller should retry. It is 0 if the caller
+	// should not retry.
 	RetryAfter time.Duration
 }
--- a/policy/dispatch/claim.go
+++ b/policy/dispatch/claim.go
@@ -135,7 +135,7 @@
 
 // platformUnavailable refuses the request. Without a claim, another node may be
 // running the same key, and sending the request could run it twice. The evidence is
-// not NOT_RUN, because an earlier submission of the caller may have run.
+// UNKNOWN, because an earlier submission of the caller may have run.
 func (m *Machine) platformUnavailable(now time.Time) []Action {
 	return m.finishWithoutClaim(now, m.notRun(pb.Reason_REASON_PLATFORM))
 }
--- a/policy/dispatch/complete.go
+++ b/policy/dispatch/complete.go
@@ -11,7 +11,8 @@
 	maxCompletionDelay = 30 * time.Second
 )
 
-// completeClaim writes the final outcome to the claim that is held.
+// completeClaim returns the write of the final claim at m.revision. That is the revision
+// of the held claim, or the one at which an uncertain Claim is resolved.
 func (m *Machine) completeClaim(delay time.Duration) Action {
 	return CompleteClaim{Revision: m.revision, Value: m.finalClaim(m.finalOutcome), Delay: delay}
 }
--- a/policy/dispatch/machine.go
+++ b/policy/dispatch/machine.go
@@ -77,7 +77,8 @@
 	p     Params
 	phase phase
 
-	// held is set while this request holds the claim at revision.
+	// held is set once this request holds the claim. revision is that of the held claim,
+	// or the one at which resolveRead writes.
 	held     bool
 	revision uint64
 	// uncertain is set while a Claim may have taken effect, or may still do so.
@@ -125,10 +126,10 @@
 	return m.pick(now)
 }
 
-// Done reports that no action is outstanding and none will follow.
+// Done reports whether no action is outstanding and none will follow.
 func (m *Machine) Done() bool { return m.phase == phaseDone }
 
-// ClaimResolved reports that the machine is done and left no claim of this request
+// ClaimResolved reports whether the machine is done and left no claim of this request
 // uncertain or PENDING.
 func (m *Machine) ClaimResolved() bool { return m.phase == phaseDone && !m.unresolved }
 
@@ -324,8 +325,8 @@
 	return []Action{Finish{Outcome: o}}
 }
 
-// end answers the caller if that has not happened yet, and completes the claim if it
-// is held.
+// end answers the caller, or revises the outcome if the caller has been answered. It
+// completes the claim if it is held.
 func (m *Machine) end(now time.Time, o Outcome) []Action {
 	var actions []Action
 	if m.finished {
--- a/policy/dispatch/simulation/environment.go
+++ b/policy/dispatch/simulation/environment.go
@@ -82,33 +82,33 @@
 
 // Submit starts a request whose deadline expires after the remaining time. An empty
 // key means that the request has no idempotency key.
-func (w *Environment) Submit(key, digest string, remaining time.Duration) *Submission {
-	s := &Submission{ID: fmt.Sprintf("r%d", len(w.Submissions)), Key: key, Digest: digest}
+func (env *Environment) Submit(key, digest string, remaining time.Duration) *Submission {
+	s := &Submission{ID: fmt.Sprintf("r%d", len(env.Submissions)), Key: key, Digest: digest}
 	s.Machine = dispatch.New(dispatch.Params{
 		RequestID:         s.ID,
 		Keyed:             key != "",
 		Digest:            digest,
-		Deadline:          w.Now.Add(remaining),
+		Deadline:          env.Now.Add(remaining),
 		CompletionTimeout: 1000 * time.Hour,
 	})
 	if key == "" {
 		s.Key = s.ID
 	}
-	w.Submissions = append(w.Submissions, s)
-	w.Apply(s, s.Machine.Start(w.Now))
+	env.Submissions = append(env.Submissions, s)
+	env.Apply(s, s.Machine.Start(env.Now))
 	return s
 }
 
-// Apply performs the actions that a machine returned. It panics if the machine
-// returns a second action before the answer to the first.
-func (w *Environment) Apply(s *Submission, actions []dispatch.Action) {
-	for _, a := range w.variant.actions(actions) {
+// Apply reports the outcomes that a machine returned and stores any other action as
+// pending. It panics if an action is already pending.
+func (env *Environment) Apply(s *Submission, actions []dispatch.Action) {
+	for _, a := range env.variant.actions(actions) {
 		switch a := a.(type) {
 		case dispatch.Finish:
 			s.Finished++
-			w.report(s, a.Outcome)
+			env.report(s, a.Outcome)
 		case dispatch.Revise:
-			w.report(s, a.Outcome)
+			env.report(s, a.Outcome)
 		default:
 			if s.Pending != nil {
 				panic("machine returned a second action before the answer to the first")
@@ -118,9 +118,9 @@
 	}
 }
 
-func (w *Environment) report(s *Submission, o dispatch.Outcome) {
-	ran := w.Runs[s.Key]
-	for _, late := range w.sends {
+func (env *Environment) report(s *Submission, o dispatch.Outcome) {
+	ran := env.Runs[s.Key]
+	for _, late := range env.sends {
 		if late.Key == s.Key {
 			ran++
 		}
@@ -128,18 +128,19 @@
 	s.Reports = append(s.Reports, Report{Outcome: o, Ran: ran})
 }
 
-// Step performs the outstanding action of a Submission, with a drawn fault.
-func (w *Environment) Step(t *rapid.T, s *Submission, faults bool) {
+// Step performs the outstanding action of a Submission. If faults is set, a drawn fault
+// may occur.
+func (env *Environment) Step(t *rapid.T, s *Submission, faults bool) {
 	a := s.Pending
 	s.Pending = nil
 	var e dispatch.Event
 	switch a := a.(type) {
 	case dispatch.Claim:
-		e = w.write(t, s, a.Revision, a.Value, faults)
+		e = env.write(t, s, a.Revision, a.Value, faults)
 	case dispatch.CompleteClaim:
-		e = w.write(t, s, a.Revision, a.Value, faults)
+		e = env.write(t, s, a.Revision, a.Value, faults)
 	case dispatch.ReadClaim:
-		e = w.read(t, s, faults)
+		e = env.read(t, s, faults)
 	case dispatch.Pick:
 		e = dispatch.Picked{Replica: fmt.Sprintf("replica%d", len(a.Tried))}
 		if faults && Draw(t, "no replica", 5) == 0 {
@@ -147,39 +148,39 @@
 			e = dispatch.Picked{Reason: reasons[Draw(t, "reason", len(reasons))]}
 		}
 	case dispatch.Send:
-		e = w.send(t, s, a, faults)
+		e = env.send(t, s, a, faults)
 	}
-	w.Apply(s, s.Machine.Step(w.Now, w.variant.event(e, a)))
+	env.Apply(s, s.Machine.Step(env.Now, env.variant.event(e, a)))
 }
 
-func (w *Environment) write(t *rapid.T, s *Submission, revision uint64, claim *pb.Claim, faults bool) dispatch.Event {
+func (env *Environment) write(t *rapid.T, s *Submission, revision uint64, claim *pb.Claim, faults bool) dispatch.Event {
 	fault := 0
 	if faults {
 		fault = Draw(t, "write", 8)
 	}
 	switch fault {
 	case 1:
-		w.compareAndSwap(s.Key, revision, claim)
+		env.compareAndSwap(s.Key, revision, claim)
 		return dispatch.ClaimWritten{Result: dispatch.WriteUncertain}
 	case 2:
-		w.writes = append(w.writes, delayedWrite{key: s.Key, revision: revision, claim: claim})
+		env.writes = append(env.writes, delayedWrite{key: s.Key, revision: revision, claim: claim})
 		return dispatch.ClaimWritten{Result: dispatch.WriteUncertain}
 	case 3:
 		return dispatch.ClaimWritten{Result: dispatch.WriteFailed}
 	case 4:
 		// The write is applied and then duplicated in transit. The reply to the
 		// second copy is returned.
-		w.compareAndSwap(s.Key, revision, claim)
+		env.compareAndSwap(s.Key, revision, claim)
 	}
-	rev, ok := w.compareAndSwap(s.Key, revision, claim)
+	rev, ok := env.compareAndSwap(s.Key, revision, claim)
 	if !ok {
 		return dispatch.ClaimWritten{Result: dispatch.WriteConflict}
 	}
 	return dispatch.ClaimWritten{Result: dispatch.WriteDone, Revision: rev}
 }
 
-func (w *Environment) compareAndSwap(key string, revision uint64, claim *pb.Claim) (uint64, bool) {
-	h := w.history[key]
+func (env *Environment) compareAndSwap(key string, revision uint64, claim *pb.Claim) (uint64, bool) {
+	h := env.history[key]
 	var latest uint64
 	if len(h) > 0 {
 		latest = h[len(h)-1].rev
@@ -187,13 +188,13 @@
 	if revision != latest {
 		return 0, false
 	}
-	w.rev++
-	w.history[key] = append(h, version{rev: w.rev, claim: claim})
-	return w.rev, true
+	env.rev++
+	env.history[key] = append(h, version{rev: env.rev, claim: claim})
+	return env.rev, true
 }
 
-func (w *Environment) read(t *rapid.T, s *Submission, faults bool) dispatch.Event {
-	h := w.history[s.Key]
+func (env *Environment) read(t *rapid.T, s *Submission, faults bool) dispatch.Event {
+	h := env.history[s.Key]
 	if faults {
 		switch Draw(t, "read", 4) {
 		case 1:
@@ -209,7 +210,7 @@
 	return dispatch.ClaimRead{Result: dispatch.ReadFound, Claim: v.claim, Revision: v.rev}
 }
 
-func (w *Environment) send(t *rapid.T, s *Submission, a dispatch.Send, faults bool) dispatch.Event {
+func (env *Environment) send(t *rapid.T, s *Submission, a dispatch.Send, faults bool) dispatch.Event {
 	e := dispatch.Replied{Attempt: a.Attempt, Evidence: pb.Evidence_EVIDENCE_UNKNOWN, Reason: pb.Reason_REASON_CONNECTION}
 	fault := 0
 	if faults {
@@ -217,78 +218,78 @@
 	}
 	switch fault {
 	case 1: // the request ran and the reply was lost
-		w.run(s)
+		env.run(s)
 	case 2: // the request is in flight and the connection was lost
-		w.sends = append(w.sends, s)
+		env.sends = append(env.sends, s)
 	case 3: // the connection was lost before the request was complete
 	case 4:
 		e.Evidence, e.Reason = pb.Evidence_EVIDENCE_NOT_RUN, pb.Reason_REASON_SHED
 		return e
 	default:
-		w.run(s)
+		env.run(s)
 		e.Evidence, e.Reason = pb.Evidence_EVIDENCE_RAN, pb.Reason_REASON_UNSPECIFIED
 		e.Result = []byte(s.ID)
 		return e
 	}
-	w.Uncertain[s.Key] = true
+	env.Uncertain[s.Key] = true
 	return e
 }
 
-func (w *Environment) run(s *Submission) {
-	w.Runs[s.Key]++
-	w.LastRunner[s.Key] = s.ID
+func (env *Environment) run(s *Submission) {
+	env.Runs[s.Key]++
+	env.LastRunner[s.Key] = s.ID
 }
 
 // DeliverOne delivers or drops one write or send in flight.
-func (w *Environment) DeliverOne(t *rapid.T) {
-	n := len(w.writes) + len(w.sends)
+func (env *Environment) DeliverOne(t *rapid.T) {
+	n := len(env.writes) + len(env.sends)
 	if n == 0 {
 		return
 	}
 	i := Draw(t, "message", n)
 	arrives := Draw(t, "arrives", 4) > 0
-	if i < len(w.writes) {
-		late := w.writes[i]
-		w.writes = append(w.writes[:i:i], w.writes[i+1:]...)
+	if i < len(env.writes) {
+		late := env.writes[i]
+		env.writes = append(env.writes[:i:i], env.writes[i+1:]...)
 		if arrives {
-			w.compareAndSwap(late.key, late.revision, late.claim)
+			env.compareAndSwap(late.key, late.revision, late.claim)
 		}
 		return
 	}
-	i -= len(w.writes)
-	s := w.sends[i]
-	w.sends = append(w.sends[:i:i], w.sends[i+1:]...)
+	i -= len(env.writes)
+	s := env.sends[i]
+	env.sends = append(env.sends[:i:i], env.sends[i+1:]...)
 	if arrives {
-		w.run(s)
+		env.run(s)
 	}
 }
 
 // Crash ends a Submission's node. The outstanding action may still be delivered.
-func (w *Environment) Crash(t *rapid.T, s *Submission) {
-	w.Uncertain[s.Key] = true
+func (env *Environment) Crash(t *rapid.T, s *Submission) {
+	env.Uncertain[s.Key] = true
 	s.Crashed = true
 	arrives := Draw(t, "left the node before the crash", 2) == 0
 	switch a := s.Pending.(type) {
 	case dispatch.Claim:
 		if arrives {
-			w.writes = append(w.writes, delayedWrite{key: s.Key, revision: a.Revision, claim: a.Value})
+			env.writes = append(env.writes, delayedWrite{key: s.Key, revision: a.Revision, claim: a.Value})
 		}
 	case dispatch.CompleteClaim:
 		if arrives {
-			w.writes = append(w.writes, delayedWrite{key: s.Key, revision: a.Revision, claim: a.Value})
+			env.writes = append(env.writes, delayedWrite{key: s.Key, revision: a.Revision, claim: a.Value})
 		}
 	case dispatch.Send:
 		if arrives {
-			w.sends = append(w.sends, s)
+			env.sends = append(env.sends, s)
 		}
 	}
 	s.Pending = nil
 }
 
 // Outstanding returns the submissions with an outstanding action.
-func (w *Environment) Outstanding() []*Submission {
+func (env *Environment) Outstanding() []*Submission {
 	var outstanding []*Submission
-	for _, s := range w.Submissions {
+	for _, s := range env.Submissions {
 		if s.Pending != nil {
 			outstanding = append(outstanding, s)
 		}
@@ -298,11 +299,11 @@
 
 // Drain performs the remaining actions without faults until nothing is outstanding or
 // in flight.
-func (w *Environment) Drain(t *rapid.T) {
-	for len(w.Outstanding())+len(w.writes)+len(w.sends) > 0 {
-		w.DeliverOne(t)
-		for _, s := range w.Outstanding() {
-			w.Step(t, s, false)
+func (env *Environment) Drain(t *rapid.T) {
+	for len(env.Outstanding())+len(env.writes)+len(env.sends) > 0 {
+		env.DeliverOne(t)
+		for _, s := range env.Outstanding() {
+			env.Step(t, s, false)
 		}
 	}
 }
