--- a/policy/gather/hedge.go
+++ b/policy/gather/hedge.go
@@ -25,8 +25,8 @@
 
 // HedgeDelay is the time that an attempt may be in flight before a hedge is sent.
 type HedgeDelay struct {
-	// earliest is when the attempt is slow for its class. latest is when a hedge can still
-	// answer within the objective.
+	// earliest is the age from which an attempt is slow for its class. latest is the age up
+	// to which a hedge can still answer within the objective.
 	earliest, latest time.Duration
 }
 
