--- a/policy/hedge/doc.go
+++ b/policy/hedge/doc.go
@@ -1,4 +1,4 @@
-// Package hedge decides when a second attempt for a subrequest is worth its load. It
+// Package hedge decides when an additional attempt for a subrequest is worth its load. It
 // holds the recent latency quantiles of the service, the budget for extra subrequests,
 // and the rule for the age from which an outstanding subrequest may be hedged.
 //
--- a/policy/hedge/quantile.go
+++ b/policy/hedge/quantile.go
@@ -9,22 +9,23 @@
 	// subBits gives 16 buckets per octave, an error of at most 1/16.
 	subBits    = 4
 	subBuckets = 1 << subBits
-	// octaves covers 1 µs to about 67 s.
+	// octaves covers 1 µs to about 134 s. Longer latencies count in the last bucket.
 	octaves = 26 - subBits + 2
-	// decayAt is the number of samples after which old ones lose half their weight. It
-	// holds enough samples for a 0.999 quantile.
+	// decayAt is the total weight at which all samples lose half their weight. It is
+	// enough for a 0.999 quantile.
 	decayAt = 16384
-	// cacheDivisor of the samples is the part that may be added before a quantile is
-	// computed again: every reply reads it.
+	// A cached quantile is valid until 1/cacheDivisor of the total weight has been added.
+	// Every reply reads a quantile, and computing one scans all buckets.
 	cacheDivisor = 64
 )
 
-// Quantile estimates quantiles of recent latencies in constant memory. Older samples
-// lose half their weight every 16,384 samples.
+// Quantile estimates quantiles of recent latencies in constant memory. Each sample has
+// weight 1 at first. All samples lose half their weight when the total reaches 16,384.
 type Quantile struct {
 	counts [octaves * subBuckets]uint32
 	total  uint32
-	// cached is the result of At for cachedQ, computed after cachedSeen samples.
+	// cached is the result of At for cachedQ. seen counts all samples, and cachedSeen is
+	// its value when cached was computed.
 	cached     time.Duration
 	cachedQ    float64
 	cachedSeen uint32
