--- a/policy/query/hedge.go
+++ b/policy/query/hedge.go
@@ -29,7 +29,7 @@
 	q.scheduleHedge()
 }
 
-// advanceHedge moves hedgeAt forward if a new attempt may be hedged earlier.
+// advanceHedge sets hedgeAt to an earlier time if a new attempt may be hedged by then.
 func (q *Query) advanceHedge(due time.Time) {
 	if q.hedgeAfter == neverHedge || !due.Before(q.params.Deadline) {
 		return
--- a/policy/query/model_test.go
+++ b/policy/query/model_test.go
@@ -147,8 +147,8 @@
 	m.apply(m.query.Reply(m.now, r))
 }
 
-// flip moves a replica to its next snapshot, which may belong to the next generation.
-func (m *model) flip(t *rapid.T) {
+// loadNext moves a replica to its next snapshot, which may belong to the next generation.
+func (m *model) loadNext(t *rapid.T) {
 	names := []string{"r0a", "r0b", "r1a", "r1b", "r2a", "r2b", "r3a", "r3b"}
 	server := m.servers[rapid.SampledFrom(names).Draw(t, "server")]
 	server.oldest++
@@ -246,10 +246,10 @@
 	m := newModel(t, svc, corruptReply)
 	m.corruptAnswer = corruptAnswer
 	t.Repeat(map[string]func(*rapid.T){
-		"serve":   m.serve,
-		"deliver": m.deliver,
-		"flip":    m.flip,
-		"wait":    m.wait,
+		"serve":              m.serve,
+		"deliver":            m.deliver,
+		"load next snapshot": m.loadNext,
+		"wait":               m.wait,
 	})
 	m.finish(t)
 	m.check()
@@ -267,7 +267,7 @@
 	svc := testService(t)
 	variants := []struct {
 		name          string
-		caught        string
+		message       string
 		corruptReply  func(query.Send, *pb.SubrequestResult)
 		corruptAnswer func(*query.Answer)
 	}{
@@ -290,7 +290,7 @@
 	}
 	for _, v := range variants {
 		t.Run(v.name, func(t *testing.T) {
-			modeltest.ExpectFailure(t, v.caught, func(t *rapid.T) { runModel(t, svc, v.corruptReply, v.corruptAnswer) })
+			modeltest.ExpectFailure(t, v.message, func(t *rapid.T) { runModel(t, svc, v.corruptReply, v.corruptAnswer) })
 		})
 	}
 }
--- a/policy/query/query.go
+++ b/policy/query/query.go
@@ -19,8 +19,8 @@
 	// PickWarmUp returns a cold replica that should receive a copy of a shard's
 	// subrequest, or nil when there is none or no spare budget.
 	PickWarmUp(shard *config.Shard, snapshot uint64, tried func(*config.Replica) bool) *config.Replica
-	// Snapshot returns the newest snapshot that every shard can serve, or 0 when none is
-	// known.
+	// Snapshot returns the newest snapshot that every shard can serve. If there is none, it
+	// returns the one that most shards can serve, or 0 when no snapshot is known.
 	Snapshot() uint64
 	// NextAttempt returns an attempt id that this node has not used before.
 	NextAttempt() uint64
--- a/policy/query/retry.go
+++ b/policy/query/retry.go
@@ -25,8 +25,8 @@
 	if a.snapshot == 0 {
 		s.tried = s.tried[:0]
 	}
-	// An outstanding hedge may return the pinned snapshot. Without this check the shard
-	// would be given up when the hedge went to the last replica.
+	// An outstanding attempt, such as a hedge, may return the pinned snapshot. Without this
+	// check, the query would restart or mark the shard absent when no untried replica is left.
 	if s.outstanding > 0 {
 		return
 	}
@@ -37,7 +37,9 @@
 	q.handleNoSnapshot(now, a.shard, step)
 }
 
-// handleFailure retries a shard after a failed attempt, or marks it absent.
+// handleFailure handles a failed attempt. While another attempt of the shard is
+// outstanding, it does nothing further. Otherwise it retries the shard at once or after a
+// pause, restarts the query at another snapshot, or marks the shard absent.
 func (q *Query) handleFailure(now time.Time, a attempt, reason pb.Reason, evidence pb.Evidence, step *Step) {
 	s := &q.shards[a.shard]
 	s.reason = reason
--- a/policy/query/tick.go
+++ b/policy/query/tick.go
@@ -76,8 +76,8 @@
 	q.updatePaused()
 }
 
-// updatePaused recomputes the paused shards when a round begins. Without it, NextTick would scan
-// all shards after each reply, in quadratic time per query.
+// updatePaused recomputes paused and resumeAt after rounds have begun. Without these fields,
+// NextTick would scan all shards after each reply, in quadratic time per query.
 func (q *Query) updatePaused() {
 	q.paused = 0
 	for i := range q.shards {
