--- a/policy/route/route.go
+++ b/policy/route/route.go
@@ -64,7 +64,7 @@
 	// MaxConnections is the number of connections that one replica accepts from all
 	// nodes together.
 	MaxConnections int
-	// ColdFor is the time after its start during which a replica is cold.
+	// ColdFor is the time during which a replica is cold after it starts.
 	ColdFor time.Duration
 	// ColdPerSecond is the request rate that a cold replica accepts from all nodes
 	// together. It is 0 if a cold replica is slower but needs no rate limit.
--- a/policy/route/route_test.go
+++ b/policy/route/route_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Guards against a share that deviates from its weight over a few hundred requests,
-// even on nodes that receive few of them.
+// Guards against a part whose number of requests deviates from its weight, even after
+// only a few requests.
 func TestSplitterStaysWithinTwoRequestsOfItsWeights(t *testing.T) {
 	c := qt.New(t)
 	parts := []route.Weighted{{Service: "a", Weight: 70}, {Service: "b", Weight: 25}, {Service: "c", Weight: 5}}
