--- a/policy/routing/pick.go
+++ b/policy/routing/pick.go
@@ -48,7 +48,7 @@
 }
 
 // Pick chooses one of the candidates, which are untried replicas of one shard that
-// hold the snapshot. It ignores candidates that are out of service, and returns nil
+// may hold the snapshot. It ignores candidates that are out of service, and returns nil
 // if no candidate remains.
 func (t *Table) Pick(candidates []*config.Replica, now time.Time) *config.Replica {
 	t.choices = t.choices[:0]
@@ -195,8 +195,8 @@
 	return 0
 }
 
-// probe returns a candidate outside the preferred tier whose probe is pending, or
-// nil. Probes detect a recovery, and a cold replica needs requests to warm up.
+// probe returns a candidate outside the preferred tier that receives this request as a
+// probe, or nil. Probes detect a recovery, and a cold replica needs requests to warm up.
 func (t *Table) probe(now time.Time) *choice {
 	for i := range t.choices {
 		c := &t.choices[i]
--- a/policy/routing/table.go
+++ b/policy/routing/table.go
@@ -62,7 +62,8 @@
 	limit         int
 	reportedAt    time.Time
 	state         pb.ReplicaState
-	// pausedUntil is the end of the pause after consecutive failures.
+	// pausedUntil is the end of the pause after a failure or refusal. failures counts
+	// consecutive failures and refusals.
 	pausedUntil time.Time
 	failures    int
 	// lastProbe is the time of the last request while the replica was a straggler or
@@ -76,7 +77,7 @@
 	replicas map[string]*replica
 	// cold counts the replicas that were last reported cold.
 	cold int
-	// choices is a buffer that Pick reuses to avoid allocations.
+	// choices is a buffer that Pick and PickHedge reuse to avoid allocations.
 	choices []choice
 }
 
