--- a/policy/snapshot/snapshot.go
+++ b/policy/snapshot/snapshot.go
@@ -1,7 +1,7 @@
 // Package snapshot tracks which index snapshots the replicas of a service hold, and
 // chooses the snapshot that a query is pinned to. The data comes from replies and may
-// be stale. It decides where subrequests are sent, but not which replies may be
-// merged: that depends on the snapshot named in each reply.
+// be stale. It determines where subrequests are sent, but not which replies may be
+// merged. Merging depends on the snapshot named in each reply.
 package snapshot
 
 import (
