--- a/api/generate.sh
+++ b/api/generate.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Regenerates api/carobmillv1 and api/peerv1 from api/proto. Needs protoc, protoc-gen-go
-# v1.36.12 and protoc-gen-go-grpc v1.6.2 on the PATH; the build does not.
+# Regenerates api/carobmillv1 and api/peerv1 from api/proto. Requires protoc, protoc-gen-go
+# v1.36.12 and protoc-gen-go-grpc v1.6.2 on the PATH. The build uses the committed code
+# and does not require them.
 set -eu
 cd "$(dirname "$0")"
 protoc -I proto \
