--- a/cmd/carobmill/process_test.go
+++ b/cmd/carobmill/process_test.go
@@ -44,9 +44,9 @@
 	return binary
 }
 
-// freeAddress returns a loopback address with a free port, which it does not reserve. The
-// port is below the ephemeral range, and random because other tests choose ports at the
-// same time.
+// freeAddress returns a loopback address with a free port. It does not keep the port open.
+// The port is below the ephemeral range, and random because other tests choose ports at
+// the same time.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	for range 100 {
@@ -56,8 +56,8 @@
 		}
 		addr := l.Addr().String()
 		_ = l.Close()
-		if !returnedAddresses[addr] {
-			returnedAddresses[addr] = true
+		if !reservedAddresses[addr] {
+			reservedAddresses[addr] = true
 			return addr
 		}
 	}
@@ -65,8 +65,9 @@
 	return ""
 }
 
-// returnedAddresses holds the addresses that freeAddress has returned.
-var returnedAddresses = make(map[string]bool)
+// reservedAddresses holds the addresses that freeAddress has returned. Without it two nodes
+// could receive the same address before either listens on it.
+var reservedAddresses = make(map[string]bool)
 
 func startProcess(t *testing.T, binary, platformURL string, sheet *pb.Sheet, n int, seeds []string) *process {
 	t.Helper()
