--- a/cmd/carobmillctl/explain.go
+++ b/cmd/carobmillctl/explain.go
@@ -24,7 +24,7 @@
 }
 
 func runExplain(ctx context.Context, inv *invocation) int {
-	node := inv.flags.String("node", "", "admin address (`ADDR`, IP address and port) of a node (required)")
+	node := inv.flags.String("node", "", "admin address (`ADDR`, IP address and port) of a node (required without -request)")
 	subject := inv.flags.String("subject", "", "only decisions about this replica, member, version or service (`NAME`)")
 	request := inv.flags.String("request", "", "`ID` of the request to find in -logs")
 	logs := inv.flags.String("logs", "", "log `FILE`s of nodes, separated by commas; - means standard input")
--- a/cmd/carobmillctl/explainlog.go
+++ b/cmd/carobmillctl/explainlog.go
@@ -15,12 +15,12 @@
 const (
 	// stdinName stands for standard input in the list of log files.
 	stdinName = "-"
-	// contextBefore is the time before the last log line of a request for which other
-	// lines of the same node are shown. It covers the longest time until a change is in
-	// force, including the balancer's check.
+	// contextBefore and contextAfter limit the lines that are shown of a node to a time
+	// range around the node's last line about the request. contextBefore covers the longest
+	// time until a state change is in force, including the load balancer's check.
 	contextBefore = 15 * time.Second
-	// contextAfter is the time after that line for which other lines are shown. A fault that
-	// affects a request may be detected after the request ends.
+	// contextAfter is above 0, since a fault that affects a request may be detected after
+	// the request ends.
 	contextAfter = 3 * time.Second
 	// maxLogLine is the maximum line length in bytes. It fits a request to several
 	// hundred shards.
--- a/cmd/carobmillctl/invocation.go
+++ b/cmd/carobmillctl/invocation.go
@@ -22,19 +22,19 @@
 	flags  *flag.FlagSet
 	output *string
 	// args holds the positional arguments. parse sets it.
-	args   []string
-	raw    []string
-	stdout io.Writer
-	stderr io.Writer
+	args     []string
+	unparsed []string
+	stdout   io.Writer
+	stderr   io.Writer
 }
 
 func newInvocation(cmd command, args []string, stdout, stderr io.Writer) *invocation {
 	inv := &invocation{
-		cmd:    cmd,
-		flags:  flag.NewFlagSet(cmd.name, flag.ContinueOnError),
-		raw:    args,
-		stdout: stdout,
-		stderr: stderr,
+		cmd:      cmd,
+		flags:    flag.NewFlagSet(cmd.name, flag.ContinueOnError),
+		unparsed: args,
+		stdout:   stdout,
+		stderr:   stderr,
 	}
 	inv.flags.SetOutput(io.Discard)
 	inv.output = inv.flags.String("o", outputText, "output: text or json")
@@ -44,7 +44,7 @@
 // parse parses flags and positional arguments in any order. names are the names of the
 // required positional arguments. If ok is false, the command exits with code.
 func (inv *invocation) parse(names ...string) (code int, ok bool) {
-	remaining := inv.raw
+	remaining := inv.unparsed
 	for {
 		if err := inv.flags.Parse(remaining); errors.Is(err, flag.ErrHelp) {
 			inv.help()
--- a/cmd/carobmillctl/main.go
+++ b/cmd/carobmillctl/main.go
@@ -29,7 +29,7 @@
 	name string
 	// synopsis lists the arguments and flags.
 	synopsis string
-	// summary is shown in the list of commands.
+	// summary is shown in the list of commands and in the help of the command.
 	summary string
 	run     func(ctx context.Context, inv *invocation) int
 }
--- a/cmd/carobmillctl/query.go
+++ b/cmd/carobmillctl/query.go
@@ -11,7 +11,8 @@
 	"github.com/carobmill/carobmill/policy/query"
 )
 
-// queryMargin is added to a query's deadline to give the time limit of the HTTP request.
+// queryMargin is the difference between the time limit of the HTTP request and the query's
+// deadline.
 const queryMargin = 5 * time.Second
 
 var queryCommand = command{
--- a/cmd/carobmillctl/sheetpublish.go
+++ b/cmd/carobmillctl/sheetpublish.go
@@ -16,9 +16,9 @@
 
 const (
 	defaultPublishTimeout = 30 * time.Second
-	// versionQueryDivisor divides the time limit of the publish to give the time limit of
-	// the query for the versions in force, which precedes the write. If no node responds,
-	// the sheet is published nevertheless.
+	// versionQueryDivisor sets the time limit of the query for the versions in force, as a
+	// fraction of the publish's time limit. The query precedes the write. If no node
+	// responds, the sheet is published nevertheless.
 	versionQueryDivisor = 6
 	// firstVersion is the version of the first configuration of a fleet.
 	firstVersion = 1
@@ -110,8 +110,9 @@
 	return exitOK
 }
 
-// isFirstPublishWithoutNodes reports whether this is the first publish of a fleet and no
-// VM is listed. Waiting for nodes would then last until the time limit.
+// isFirstPublishWithoutNodes reports whether the accepted version is the first of its fleet
+// and the platform lists no VM, or only leaving ones. Waiting for nodes would then last
+// until the time limit.
 func isFirstPublishWithoutNodes(ctx context.Context, fleet publish.Fleet, r publish.Result) bool {
 	if r.Accepted.GetVersion() != firstVersion {
 		return false
--- a/cmd/carobmillctl/statuscentres.go
+++ b/cmd/carobmillctl/statuscentres.go
@@ -49,7 +49,7 @@
 }
 
 // add includes the status of one node. If several owners report a replica, the state
-// reported by the owner of rank 0 is used.
+// reported by the owner of rank 0 is used, or the first reported state without that owner.
 func (dc *dataCentreSummary) add(n *pb.NodeStatus) {
 	dc.nodes++
 	if n.GetError() != "" {
