--- a/cmd/load/config.go
+++ b/cmd/load/config.go
@@ -52,7 +52,7 @@
 	}
 	for _, address := range c.Addresses {
 		if _, err := netip.ParseAddrPort(address); err != nil {
-			return errors.Errorf("flag -addr: %q is not an IP number and a port", address)
+			return errors.Errorf("flag -addr: %q is not an IP address and port", address)
 		}
 	}
 	if len(c.Targets) == 0 || len(c.Targets) > maxTargets {
@@ -89,7 +89,7 @@
 		if given {
 			value, err := strconv.ParseFloat(share, 64)
 			if err != nil || !(value > 0 && value <= 1e6) {
-				return nil, errors.Errorf("flag -mix: share %q of %s is not a number above 0", share, name)
+				return nil, errors.Errorf("flag -mix: share %q of %s is not a number above 0 and at most 1e6", share, name)
 			}
 			target.Share = value
 		}
--- a/cmd/load/load_test.go
+++ b/cmd/load/load_test.go
@@ -135,11 +135,11 @@
 	_, err := ParseMix("timing")
 	c.Assert(err, qt.ErrorMatches, `flag -mix: "timing" is not SERVICE/CLASS\[=SHARE\]`)
 	_, err = ParseMix("timing/checkpoint=NaN")
-	c.Assert(err, qt.ErrorMatches, `flag -mix: share "NaN" of timing/checkpoint is not a number above 0`)
+	c.Assert(err, qt.ErrorMatches, `flag -mix: share "NaN" of timing/checkpoint is not a number above 0 and at most 1e6`)
 	config := testConfig()
 	config.Rate = MaxRate + 1
 	c.Assert(config.Check(), qt.ErrorMatches, "flag -rate is out of range, .*")
 	config = testConfig()
 	config.Addresses = []string{"localhost:80"}
-	c.Assert(config.Check(), qt.ErrorMatches, `flag -addr: "localhost:80" is not an IP number and a port`)
+	c.Assert(config.Check(), qt.ErrorMatches, `flag -addr: "localhost:80" is not an IP address and port`)
 }
--- a/cmd/load/run.go
+++ b/cmd/load/run.go
@@ -46,8 +46,9 @@
 
 // Run sends the load and returns the report. Sending stops after the configured
 // duration or when ctx is done, and the report covers the requests scheduled up to
-// then. Run returns when no request is in flight, which takes at most the deadline
-// and a grace period longer. onProgress, if not nil, is called every second.
+// then. Run waits for the requests in flight, at most for the deadline plus
+// responseGrace. When ctx is done, they are cancelled and count as failed.
+// onProgress, if not nil, is called every second.
 func Run(ctx context.Context, c Config, onProgress func(Progress)) (*Report, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
