--- a/node/caller/messages.go
+++ b/node/caller/messages.go
@@ -54,7 +54,7 @@
 	Reason string `json:"reason"`
 }
 
-// Cost counts the subrequests of a traced query.
+// Cost counts the subrequests, dropped replies and restarts of a traced query.
 type Cost struct {
 	Attempts int `json:"attempts"`
 	Hedges   int `json:"hedges"`
@@ -95,12 +95,13 @@
 }
 
 // ErrorAnswer is the response body for a request that is invalid or names an
-// unknown service, class or shard.
+// unknown service, class or shard, for a result that is not valid JSON and for an
+// internal error.
 type ErrorAnswer struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail contains the kind of error and the invalid field.
+// ErrorDetail contains the kind of error and the invalid field, if there is one.
 type ErrorDetail struct {
 	Code    string `json:"code"`
 	Field   string `json:"field,omitempty"`
