--- a/node/command/command.go
+++ b/node/command/command.go
@@ -97,9 +97,8 @@
 	output := telemetry.NewQueuedWriter(stdout)
 	defer output.Close()
 	log.SetOutput(output)
-	// Libraries log each broken connection. Faulty replicas would flood the log with
-	// them, and the node itself logs the failed requests, so these lines are at debug
-	// level.
+	// Libraries log each broken connection to the standard logger. Its lines are written
+	// at debug level, because faulty replicas would otherwise flood the log.
 	library := log.WriterLevel(logrus.DebugLevel)
 	defer func() { _ = library.Close() }()
 	stdlog.SetFlags(0)
