--- a/node/entry/run.go
+++ b/node/entry/run.go
@@ -223,7 +223,8 @@
 
 // ownerFor chooses the owner to which the requests for a replica are sent: this node if
 // it is an owner, or a random owner. A replica that was not reported as warm, or whose
-// service has silent cold starts, is used only through its first owner.
+// service has silent cold starts, is used only through its first owner. ownerFor returns
+// false if no such owner may be called now.
 func (r *runner) ownerFor(replica *config.Replica) (fleet.Member, bool) {
 	ranked := r.entry.Fleet.Owners(replica)
 	owners := r.entry.callableOwners(ranked, time.Now())
--- a/node/entry/tables.go
+++ b/node/entry/tables.go
@@ -45,8 +45,8 @@
 	serviceTime       hedge.Quantile
 	queryLatency      hedge.Quantile
 	admission         *admission.Controller
-	// probing is set while a query is in flight that was admitted as a probe,
-	// although its deadline is below the expected query latency.
+	// probing is set when a query is admitted as a probe, although its remaining time
+	// is below the expected query latency. The next end of a query clears it.
 	probing bool
 	// reportRevisions contains the last revision applied from each owner.
 	reportRevisions map[membership.ID]uint64
