--- a/node/execute/execute_test.go
+++ b/node/execute/execute_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// A client sends the same request eight times to two nodes at once. One submission holds
+// A caller sends the same request eight times to two nodes at once. One submission holds
 // the claim. Duplicates at its node return its outcome, and those at the other node
 // return UNKNOWN with KEY_PENDING and a retry delay.
 func TestDuplicatesOnTwoNodesRunOnce(t *testing.T) {
--- a/node/execute/run.go
+++ b/node/execute/run.go
@@ -126,7 +126,8 @@
 	}
 }
 
-// drive runs the state machine of a request until no action is outstanding.
+// drive runs the state machine of a request until no action is outstanding, or until
+// maxClosingRetries is exceeded during shutdown.
 func (x *Executor) drive(r *run) {
 	defer x.running.Done()
 	defer x.remove(r)
--- a/node/execute/simulation/backend.go
+++ b/node/execute/simulation/backend.go
@@ -52,11 +52,11 @@
 func (b *Backend) Execute(_ context.Context, r *config.Replica, req *pb.ExecuteRequest) *pb.ExecuteResponse {
 	b.mu.Lock()
 	b.sent = append(b.sent, r.Name)
-	f := RunAndReply
+	behaviour := RunAndReply
 	if len(b.behaviours) > 0 {
-		f, b.behaviours = b.behaviours[0], b.behaviours[1:]
+		behaviour, b.behaviours = b.behaviours[0], b.behaviours[1:]
 	}
-	if f != ResetBeforeWrite && f != ResetDuringWrite {
+	if behaviour != ResetBeforeWrite && behaviour != ResetDuringWrite {
 		b.runs[string(req.GetBody())]++
 	}
 	hold := b.Hold
@@ -65,13 +65,13 @@
 		<-hold
 	}
 	resp := &pb.ExecuteResponse{Attempt: req.GetAttempt(), Reason: pb.Reason_REASON_CONNECTION}
-	switch f {
+	switch behaviour {
 	case ResetBeforeWrite:
 		resp.Evidence = pb.Evidence_EVIDENCE_NOT_RUN
 	case OwnerLost:
 		resp.Reason = pb.Reason_REASON_PEER
 	case SlowRun, RunAndReply:
-		if f == SlowRun {
+		if behaviour == SlowRun {
 			time.Sleep(SlowRunDuration)
 		}
 		resp.Evidence = pb.Evidence_EVIDENCE_RAN
@@ -81,7 +81,7 @@
 	return resp
 }
 
-// Runs returns the number of runs of requests with a body.
+// Runs returns the number of runs of requests with the given body.
 func (b *Backend) Runs(body string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/node/execute/simulation/platform.go
+++ b/node/execute/simulation/platform.go
@@ -99,7 +99,7 @@
 	return p.rev, pause
 }
 
-// Grant counts the granted leases. All of them have the same id.
+// Grant grants a lease. All leases have the same id.
 func (p *Platform) Grant(context.Context, time.Duration) (platform.LeaseID, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
