--- a/node/owner/claim_test.go
+++ b/node/owner/claim_test.go
@@ -74,15 +74,15 @@
 			req := &pb.ReportReplicaRequest{Service: "timing", News: []*pb.ReplicaNews{{Replica: "r0"}}}
 			return r.HandleReport("second", req).GetNews()[0].GetState()
 		}
-		entry := r.ensureReplica(replica)
-		entry.poll(context.Background())
+		owned := r.ensureReplica(replica)
+		owned.poll(context.Background())
 		qt.Assert(t, reported(), qt.Equals, pb.ReplicaState_REPLICA_STATE_WARM)
-		entry.pollDue(time.Now(), time.Hour)
+		owned.pollDue(time.Now(), time.Hour)
 		r.server.Restart()
 		synctest.Wait()
 		qt.Assert(t, reported(), qt.Equals, pb.ReplicaState_REPLICA_STATE_UNSPECIFIED)
-		qt.Assert(t, entry.pollDue(time.Now(), time.Hour), qt.IsTrue)
-		entry.poll(context.Background())
+		qt.Assert(t, owned.pollDue(time.Now(), time.Hour), qt.IsTrue)
+		owned.poll(context.Background())
 		qt.Assert(t, reported(), qt.Equals, pb.ReplicaState_REPLICA_STATE_COLD)
 	})
 }
--- a/node/owner/owned.go
+++ b/node/owner/owned.go
@@ -12,14 +12,16 @@
 )
 
 const (
-	// cancelGrace is how long a cold replica may continue to process a cancelled
-	// request.
+	// cancelGrace is how long a cancelled request occupies its slot at a replica that
+	// is not warm, because the replica may still process the request.
 	cancelGrace = 200 * time.Millisecond
-	// coldHoldDown exceeds the propagation time of reports between owners.
+	// coldHoldDown is how long a report that the replica is warm is ignored after a
+	// signal of a cold start. It exceeds the propagation time of reports between
+	// owners. Otherwise, a report sent before the cold start would end the cold state.
 	coldHoldDown = time.Second
 )
 
-// task is one request on its way to a replica.
+// task is one request that is queued for a replica or in flight there.
 type task struct {
 	ctx      context.Context
 	req      Request
--- a/node/owner/owner.go
+++ b/node/owner/owner.go
@@ -96,7 +96,7 @@
 	Attempt  uint64
 	// Sender is the boot of the node that assigned Attempt.
 	Sender uint64
-	// Extra marks a hedge. A hedge is never queued.
+	// Extra marks a hedge or a warm-up, which is never queued.
 	Extra bool
 	// Typical is the typical service time of the service's replicas, 0 if unknown.
 	Typical time.Duration
@@ -205,17 +205,17 @@
 func (o *Owner) ensureReplica(r *config.Replica) *ownedReplica {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	existing := o.replicas[r.Name]
-	if existing != nil && existing.address() == r.Address {
-		return existing
+	owned := o.replicas[r.Name]
+	if owned != nil && owned.address() == r.Address {
+		return owned
 	}
-	if existing != nil {
+	if owned != nil {
 		// The name now belongs to another backend server.
 		o.Backend.Forget(r.Name)
 	}
-	existing = newOwnedReplica(o, r)
-	o.replicas[r.Name] = existing
-	return existing
+	owned = newOwnedReplica(o, r)
+	o.replicas[r.Name] = owned
+	return owned
 }
 
 // share returns the number of connections that this node may open to a replica.
@@ -228,20 +228,20 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	list := make([]*ownedReplica, 0, len(o.replicas))
-	for _, entry := range o.replicas {
-		list = append(list, entry)
+	for _, owned := range o.replicas {
+		list = append(list, owned)
 	}
 	return list
 }
 
 // release removes a replica that this node no longer owns.
-func (o *Owner) release(entry *ownedReplica) {
+func (o *Owner) release(owned *ownedReplica) {
 	o.mu.Lock()
-	if o.replicas[entry.name] == entry {
-		delete(o.replicas, entry.name)
+	if o.replicas[owned.name] == owned {
+		delete(o.replicas, owned.name)
 	}
 	o.mu.Unlock()
-	o.Backend.Forget(entry.name)
+	o.Backend.Forget(owned.name)
 }
 
 // maxAttemptID is the maximum length of an attempt id: 16 digits, a dash, 20 digits.
--- a/node/owner/poll.go
+++ b/node/owner/poll.go
@@ -22,10 +22,10 @@
 	// claim has expired. The delay must be well below the safety margin of claims.
 	maxRoundInterval = 100 * time.Millisecond
 	// maxWarmPollsPerSecond limits the rate of status polls of all warm replicas
-	// without traffic together. A poll writes 81 bytes: at an interval of a second, 37 idle
-	// replicas would use 3.0 of the 4 KB/s that a node has for control messages. The
-	// limit delays the changes that only a poll detects. A lost connection or a
-	// request detects a restart at once.
+	// without traffic together. Without it, the polls of a node with many idle replicas
+	// would exceed the 4 KB/s that a node has for control messages; a poll writes 81
+	// bytes. The limit delays the detection of changes that only a poll detects. A
+	// restart is detected at once by a lost connection or a reply.
 	maxWarmPollsPerSecond = 10
 )
 
@@ -67,26 +67,27 @@
 	}
 }
 
-// pollRound renews the claims of cold replicas and starts the polls that are due. It
-// releases replicas that this node no longer owns when they are idle.
+// pollRound renews the claims of replicas that are not warm or whose service has silent
+// cold starts, and starts the polls that are due. It releases replicas that this node no
+// longer owns when they are idle.
 func (o *Owner) pollRound(ctx context.Context, now time.Time) {
 	index := o.Fleet.Index()
 	if index == nil {
 		return
 	}
-	entries := o.list()
-	warmInterval := o.warmInterval(entries)
-	for _, entry := range entries {
-		r := index.Replicas[entry.name]
+	replicas := o.list()
+	warmInterval := o.warmInterval(replicas)
+	for _, owned := range replicas {
+		r := index.Replicas[owned.name]
 		if r == nil || !r.InService || o.rank(r) < 0 {
-			if entry.idle() {
-				o.release(entry)
+			if owned.idle() {
+				o.release(owned)
 			}
 			continue
 		}
-		entry.renewClaim(r)
-		if entry.pollDue(now, warmInterval) {
-			o.Pool.Go(func() { entry.poll(ctx) })
+		owned.renewClaim(r)
+		if owned.pollDue(now, warmInterval) {
+			o.Pool.Go(func() { owned.poll(ctx) })
 		}
 	}
 }
@@ -94,10 +95,10 @@
 // warmInterval returns the time between two polls of a warm replica without traffic.
 // It exceeds the poll interval if the polls of all warm replicas would otherwise
 // exceed maxWarmPollsPerSecond.
-func (o *Owner) warmInterval(entries []*ownedReplica) time.Duration {
+func (o *Owner) warmInterval(replicas []*ownedReplica) time.Duration {
 	warm := 0
-	for _, entry := range entries {
-		if entry.warm() {
+	for _, owned := range replicas {
+		if owned.warm() {
 			warm++
 		}
 	}
@@ -186,7 +187,7 @@
 
 // exchange synchronises the state of a replica between its owners. The first owner
 // decides when the replica is warm. Another owner whose state is not warm reports to
-// the first owner and applies its answer. Without this, a second owner would send to a
+// the first owner and applies its response. Without this, a second owner would send to a
 // replica that the first owner still warms up, and together they would overload it.
 func (r *ownedReplica) exchange(ctx context.Context, replica *config.Replica, report *pb.ReplicaNews) {
 	owners := r.owner.Fleet.Owners(replica)
@@ -201,11 +202,11 @@
 	if report.GetState() == pb.ReplicaState_REPLICA_STATE_WARM {
 		return
 	}
-	answer, err := r.owner.Reporter.ReportReplica(ctx, owners[0], r.reportRequest(replica, report))
+	resp, err := r.owner.Reporter.ReportReplica(ctx, owners[0], r.reportRequest(replica, report))
 	if err != nil {
 		return
 	}
-	for _, n := range answer.GetNews() {
+	for _, n := range resp.GetNews() {
 		r.applyReport(n, true)
 	}
 }
@@ -235,7 +236,7 @@
 }
 
 // applyReport applies a report from another owner. Only the first owner can make the
-// replica warm; other states are accepted from any owner.
+// replica warm. The caller decides from which owners it accepts other states.
 func (r *ownedReplica) applyReport(report *pb.ReplicaNews, fromFirst bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -256,13 +257,14 @@
 	r.updateState()
 }
 
-// HandleReport applies a report from another owner and returns this node's state of
-// the same replicas.
+// HandleReport applies the reports of another owner and returns this node's state of
+// the same replicas. Only the draining state is applied from an owner that is not the
+// first.
 func (o *Owner) HandleReport(sender string, req *pb.ReportReplicaRequest) *pb.ReportReplicaResponse {
-	answer := &pb.ReportReplicaResponse{}
+	resp := &pb.ReportReplicaResponse{}
 	index := o.Fleet.Index()
 	if index == nil {
-		return answer
+		return resp
 	}
 	for _, n := range req.GetNews() {
 		r := index.Replicas[n.GetReplica()]
@@ -273,31 +275,32 @@
 		if rankAmong(owners, o.Fleet.Self().Name) < 0 {
 			continue
 		}
-		entry := o.ensureReplica(r)
+		owned := o.ensureReplica(r)
 		senderIsFirst := owners[0].Name == sender
-		// Another owner starts in the cold state until it receives the state from
-		// the first owner. Its report does not indicate a cold start.
+		// An owner that is not the first starts in the cold state and stays in it until
+		// it receives the state from the first owner. Its report does not indicate a
+		// cold start.
 		if senderIsFirst || n.GetState() == pb.ReplicaState_REPLICA_STATE_DRAINING {
-			entry.applyReport(n, senderIsFirst)
+			owned.applyReport(n, senderIsFirst)
 		}
-		entry.mu.Lock()
-		answer.News = append(answer.News, entry.report())
-		entry.mu.Unlock()
+		owned.mu.Lock()
+		resp.News = append(resp.News, owned.report())
+		owned.mu.Unlock()
 	}
-	return answer
+	return resp
 }
 
 // InFlight returns the number of requests of this node in flight at a replica.
 func (o *Owner) InFlight(replica string) int {
 	o.mu.Lock()
-	entry := o.replicas[replica]
+	owned := o.replicas[replica]
 	o.mu.Unlock()
-	if entry == nil {
+	if owned == nil {
 		return 0
 	}
-	entry.mu.Lock()
-	defer entry.mu.Unlock()
-	return entry.limiter.InFlight()
+	owned.mu.Lock()
+	defer owned.mu.Unlock()
+	return owned.limiter.InFlight()
 }
 
 // ReportsSince returns reports on the replicas of a service that changed after a
@@ -310,12 +313,12 @@
 		return nil, revision
 	}
 	var reports []*pb.ReplicaNews
-	for _, entry := range o.list() {
-		entry.mu.Lock()
-		if entry.changed > since && entry.replica.Service.Name == service {
-			reports = append(reports, entry.report())
+	for _, owned := range o.list() {
+		owned.mu.Lock()
+		if owned.changed > since && owned.replica.Service.Name == service {
+			reports = append(reports, owned.report())
 		}
-		entry.mu.Unlock()
+		owned.mu.Unlock()
 	}
 	return reports, revision
 }
@@ -327,14 +330,14 @@
 		return nil
 	}
 	var list []*pb.OwnedReplica
-	for _, entry := range o.list() {
-		r := index.Replicas[entry.name]
+	for _, owned := range o.list() {
+		r := index.Replicas[owned.name]
 		if r == nil {
 			continue
 		}
-		entry.mu.Lock()
-		report := entry.report()
-		entry.mu.Unlock()
+		owned.mu.Lock()
+		report := owned.report()
+		owned.mu.Unlock()
 		list = append(list, &pb.OwnedReplica{
 			Service:         r.Service.Name,
 			Replica:         r.Name,
--- a/node/owner/poll_test.go
+++ b/node/owner/poll_test.go
@@ -36,14 +36,14 @@
 			c := qt.New(t)
 			o := New(Options{PollInterval: interval})
 			r := &ownedReplica{owner: o, state: tc.state}
-			var entries []*ownedReplica
+			var replicas []*ownedReplica
 			for range tc.owned {
-				entries = append(entries, &ownedReplica{owner: o, state: pb.ReplicaState_REPLICA_STATE_WARM})
+				replicas = append(replicas, &ownedReplica{owner: o, state: pb.ReplicaState_REPLICA_STATE_WARM})
 			}
 			start := time.Unix(1000, 0)
 			polls := 0
 			for now := start; now.Before(start.Add(span)); now = now.Add(interval / roundsPerPollInterval) {
-				if r.pollDue(now, o.warmInterval(entries)) {
+				if r.pollDue(now, o.warmInterval(replicas)) {
 					polls++
 					r.statusAt = now
 				}
