--- a/node/peer/bounds_test.go
+++ b/node/peer/bounds_test.go
@@ -15,8 +15,7 @@
 )
 
 // Guards against more allocations or larger messages per subrequest of a query to a remote
-// owner: at the target load, a node handles 317,000 subrequests a second. Excluded from
-// race builds, because the race detector allocates memory itself.
+// owner. Excluded from race builds, because the race detector allocates memory itself.
 func TestScatterPathIsWithinBounds(t *testing.T) {
 	const shards, queries = 100, 200
 	c := qt.New(t)
--- a/node/peer/brief_test.go
+++ b/node/peer/brief_test.go
@@ -181,9 +181,8 @@
 	c.Assert(results, qt.Equals, 2)
 }
 
-// Guards against larger messages and more allocations per subrequest: at 317,000
-// subrequests a second for each node, one more byte is 2.5 Mbit/s. The bounds cover request
-// and response, encoded and decoded, with 36 subrequests and results of 51 bytes.
+// Guards against larger messages and more allocations per subrequest. The bounds cover
+// request and response, encoded and decoded, with 36 subrequests and results of 51 bytes.
 func TestBriefMessageSizeAndAllocationsAreBounded(t *testing.T) {
 	const (
 		n         = 36
--- a/node/peer/briefresults.go
+++ b/node/peer/briefresults.go
@@ -34,11 +34,11 @@
 // it.
 func (a attemptResult) encodable() bool {
 	r := a.result
-	news := r.GetNews()
+	report := r.GetNews()
 	return r.GetReason() == pb.Reason_REASON_UNSPECIFIED &&
 		r.GetEvidence() == pb.Evidence_EVIDENCE_RAN &&
-		news.GetState() == pb.ReplicaState_REPLICA_STATE_WARM &&
-		news.GetReplica() == r.GetReplica() &&
+		report.GetState() == pb.ReplicaState_REPLICA_STATE_WARM &&
+		report.GetReplica() == r.GetReplica() &&
 		a.matches()
 }
 
@@ -76,14 +76,15 @@
 }
 
 // sharesCommonFields reports whether a result has the values that BriefResults stores once
-// for all results. The first result of the message sets these values.
+// for all results, and an attempt that fits into a 32-bit offset. The first encodable
+// result of the message sets the common values.
 func (w *briefWriter) sharesCommonFields(r *pb.SubrequestResult) bool {
 	if w.message.GetBrief() == nil {
 		w.message.Brief = w.newColumns(r)
 	}
-	b, news := w.message.GetBrief(), r.GetNews()
+	b, report := w.message.GetBrief(), r.GetNews()
 	return b.GetSnapshot() == r.GetSnapshot() && b.GetGeneration() == r.GetGeneration() &&
-		b.GetOldestSnapshot() == news.GetOldestSnapshot() && b.GetNewestSnapshot() == news.GetNewestSnapshot() &&
+		b.GetOldestSnapshot() == report.GetOldestSnapshot() && b.GetNewestSnapshot() == report.GetNewestSnapshot() &&
 		r.GetAttempt()-b.GetFirstAttempt() <= math.MaxUint32
 }
 
@@ -131,7 +132,8 @@
 	return sum
 }
 
-// subrequestList is the subrequests of one message, sorted by attempt.
+// subrequestList is the subrequests of one message. encode, index and decodeResults
+// require that they are sorted by attempt.
 type subrequestList []*pb.Subrequest
 
 // index returns the index of an attempt, or -1 if the list does not contain the attempt.
@@ -154,11 +156,11 @@
 		return nil, errors.Wrap(ErrMalformed, "inconsistent columns of brief results")
 	}
 	// Two arrays replace two allocations per result.
-	results, news := make([]pb.SubrequestResult, n), make([]pb.ReplicaNews, n)
+	results, reports := make([]pb.SubrequestResult, n), make([]pb.ReplicaNews, n)
 	list := make([]*pb.SubrequestResult, n)
 	body := b.GetResults()
 	for i := range list {
-		r, report := &results[i], &news[i]
+		r, report := &results[i], &reports[i]
 		list[i] = r
 		r.Attempt = b.GetFirstAttempt() + uint64(b.GetAttempts()[i])
 		r.Evidence = pb.Evidence_EVIDENCE_RAN
--- a/node/peer/briefsubrequests.go
+++ b/node/peer/briefsubrequests.go
@@ -66,7 +66,8 @@
 	return n
 }
 
-// decodeSubrequests decodes brief subrequests.
+// decodeSubrequests decodes brief subrequests. The result has the order of the message,
+// which the sender may not have sorted. Errors wrap ErrMalformed.
 func decodeSubrequests(b *pb.BriefSubrequests) (subrequestList, error) {
 	n := len(b.GetAttempts())
 	if n > maxBriefSubrequests {
--- a/node/peer/client.go
+++ b/node/peer/client.go
@@ -57,8 +57,8 @@
 }
 
 // Execute runs a non-idempotent request at a peer. The request is sent at most once. A
-// call that fails has EVIDENCE_NOT_RUN if no byte of the request was sent, otherwise
-// EVIDENCE_UNKNOWN.
+// call that fails has EVIDENCE_NOT_RUN if the request was not passed to a connection,
+// otherwise EVIDENCE_UNKNOWN.
 func (c *Client) Execute(ctx context.Context, to fleet.Member, req *pb.ExecuteRequest) *pb.ExecuteResponse {
 	failed := &pb.ExecuteResponse{
 		Attempt:  req.GetAttempt(),
@@ -102,9 +102,9 @@
 	return resp, nil
 }
 
-// Pull requests the configuration that a peer has in force. The response is compressed:
-// uncompressed, 920 pulls a day of 172 KB use 45% of the control traffic of 4 KB/s that a
-// node is allowed.
+// Pull requests the configuration that a peer has in force. The response is compressed,
+// because uncompressed responses would use much of the 4 KB/s that a node has for control
+// messages.
 func (c *Client) Pull(ctx context.Context, addr string, req *pb.PullConfigurationRequest) (*pb.PullConfigurationResponse, error) {
 	stub, err := c.pool.client(addr)
 	if err != nil {
--- a/node/peer/fuzz_test.go
+++ b/node/peer/fuzz_test.go
@@ -270,9 +270,9 @@
 	resp := &pb.ScatterResponse{}
 	w := briefWriter{message: resp, firstAttempt: 1}
 	for _, sub := range subs {
-		news := &pb.ReplicaNews{Replica: sub.Replica, State: pb.ReplicaState_REPLICA_STATE_WARM, Limit: 3}
+		report := &pb.ReplicaNews{Replica: sub.Replica, State: pb.ReplicaState_REPLICA_STATE_WARM, Limit: 3}
 		w.write([]attemptResult{{sub: sub, result: &pb.SubrequestResult{
-			Attempt: sub.Attempt, Shard: sub.Shard, Replica: sub.Replica, Evidence: pb.Evidence_EVIDENCE_RAN, Result: []byte("{}"), News: news,
+			Attempt: sub.Attempt, Shard: sub.Shard, Replica: sub.Replica, Evidence: pb.Evidence_EVIDENCE_RAN, Result: []byte("{}"), News: report,
 		}}})
 	}
 	for _, change := range []func(*pb.BriefResults){
--- a/node/peer/pool.go
+++ b/node/peer/pool.go
@@ -27,9 +27,10 @@
 	closeGrace     = 5 * time.Second
 	connectTimeout = time.Second
 	maxBackoff     = time.Second
-	// idleTimeout closes unused connections: each one uses about 28 KB at its two ends,
-	// and a node of a fleet of 750 has 749 peers. It is longer than a round of pings over
-	// the ping set, so connections to members of the ping set stay open.
+	// idleTimeout is the time after which an unused connection is closed. Without it, the
+	// nodes of a large fleet would hold memory for a connection to every other node. The
+	// timeout is longer than a round of pings over the ping set, so connections to members
+	// of the ping set stay open.
 	idleTimeout = time.Minute
 	// maxMessageBytes bounds a message between nodes. The largest ones carry the results
 	// of one owner for a query.
@@ -160,9 +161,9 @@
 
 type sentKey struct{}
 
-// withSent returns a context for one call, and a flag that is set when the first bytes of
-// the call are written to a connection. While the flag is unset, the peer cannot have
-// received the call.
+// withSent returns a context for one call, and a flag that is set when the headers of the
+// call are queued on a connection, before its first message. While the flag is unset, the
+// peer cannot have received a message of the call.
 func withSent(ctx context.Context) (context.Context, *atomic.Bool) {
 	sent := &atomic.Bool{}
 	return context.WithValue(ctx, sentKey{}, sent), sent
--- a/node/peer/pull_test.go
+++ b/node/peer/pull_test.go
@@ -38,8 +38,8 @@
 	return n, err
 }
 
-// Guards against pulls that exceed the control traffic allowed for a node: at the target
-// load, each node pulls 920 configurations a day, so the response must be compressed.
+// Guards against pulls that exceed the control traffic allowed for a node: the response
+// must be compressed.
 func TestPulledConfigurationIsCompressed(t *testing.T) {
 	c := qt.New(t)
 	shard := &pb.Shard{Name: "s"}
--- a/node/peer/scatter.go
+++ b/node/peer/scatter.go
@@ -21,7 +21,7 @@
 	batchWindowDivisor = 8
 	maxBatchWindow     = 2 * time.Millisecond
 	// maxSubrequests bounds the subrequests of one message. An empty subrequest takes 2
-	// bytes on the wire, but about a thousand times as many bytes to reject.
+	// bytes on the wire, but about a thousand times as much memory to reject.
 	maxSubrequests = maxBriefSubrequests
 )
 
