--- a/node/publish/faulty/kv.go
+++ b/node/publish/faulty/kv.go
@@ -146,7 +146,7 @@
 	return written, nil
 }
 
-// WriteCount returns the number of entries in the history with a publish id.
+// WriteCount returns the number of entries in the history with the given publish id.
 func (kv *KV) WriteCount(id string) int {
 	count := 0
 	for _, entry := range kv.History {
--- a/node/publish/outcome.go
+++ b/node/publish/outcome.go
@@ -24,7 +24,8 @@
 	TooLarge
 	// Invalid: the sheet does not compile; nothing was written.
 	Invalid
-	// Unavailable: the platform did not answer in time; nothing was written.
+	// Unavailable: the platform did not answer in time, or the value of a concurrent
+	// publish is damaged; nothing was written.
 	Unavailable
 	// Unknown: a write was sent, but it is not known whether it took effect.
 	Unknown
--- a/node/publish/publish.go
+++ b/node/publish/publish.go
@@ -1,6 +1,6 @@
 // Package publish puts a sheet in force. Publish writes the fleet's configuration with
-// compare-and-swap and resolves a lost reply by reading. Await then waits until every
-// known node has the version in force.
+// compare-and-swap, and reads the key after a lost reply to determine the outcome. Await
+// then waits until every known node has the version in force.
 package publish
 
 import (
--- a/node/publish/rollout.go
+++ b/node/publish/rollout.go
@@ -52,7 +52,7 @@
 
 // Await queries the fleet until every known node has the version in force or ctx ends.
 // The VM list adds nodes that the fleet may not list, such as those on the other side of
-// a network partition. It may be nil. The interval between queries is 200 ms if it is 0.
+// a network partition, and may be nil. An interval of 0 selects 200 ms between queries.
 func Await(ctx context.Context, fleet Fleet, vms platform.VMList, version uint64, interval time.Duration) RolloutStatus {
 	start := time.Now()
 	if interval == 0 {
