--- a/node/backend/batch.go
+++ b/node/backend/batch.go
@@ -25,7 +25,7 @@
 // replica.
 type Batch struct {
 	Replica *config.Replica
-	// Items are reads; non-idempotent requests are not allowed.
+	// Items holds at least one subrequest. DoBatch panics if one is non-idempotent.
 	Items []Item
 	// Gate and OnRelease apply to the batch as a whole, as in Call.
 	Gate      func() bool
@@ -68,8 +68,8 @@
 	cancel context.CancelFunc
 }
 
-// DoBatch sends the items in one exchange. It returns when each item has its
-// outcome and the connection has been released or abandoned. Like Do, it never
+// DoBatch sends the items in one exchange. It returns when the Done function of each
+// item has returned and the exchange has ended or was abandoned. Like Do, it never
 // sends a request twice. The reply is the outcome of the exchange as a whole.
 func (c *Client) DoBatch(b Batch) Reply {
 	onRelease := b.OnRelease
--- a/node/backend/call.go
+++ b/node/backend/call.go
@@ -23,14 +23,16 @@
 	Body      []byte
 	// Execute marks a non-idempotent request.
 	Execute bool
-	// Gate, if set, is called once a connection is available, right before the
-	// request is written. If it returns false, the attempt ends as not run.
+	// Gate, if set, is called when a connection is available, right before the
+	// request is written. It is called again if that connection turns out to be closed
+	// and another one is used. If Gate returns false, the attempt ends as not run.
 	Gate func() bool
 	// OnRelease, if set, is called once when the request no longer occupies the
-	// replica: its reply was read, it was never sent, or the backend server has
-	// noticed that its connection or stream was closed. For a cancelled call this
-	// is later than Do's return, so limits on requests in flight are released
-	// here and not when Do returns.
+	// replica: its reply was read, it was never sent, the backend server has closed
+	// its end of the connection, or the time within which the server must have stopped
+	// working on the request has passed. For a cancelled call this can be later than
+	// Do's return, so limits on requests in flight are released here and not when Do
+	// returns.
 	OnRelease func()
 
 	// batch is set on the call that carries a batch.
@@ -61,7 +63,7 @@
 	// Queued is the time spent waiting for a connection, Took the time from
 	// then until the reply was read.
 	Queued, Took time.Duration
-	// NewConnection is set when the attempt was the first on its connection.
+	// NewConnection is set when the attempt was the first exchange on its connection.
 	NewConnection bool
 }
 
--- a/node/backend/client.go
+++ b/node/backend/client.go
@@ -208,8 +208,8 @@
 	return p
 }
 
-// maxConnsPerAttempt is how many connections an attempt acquires at most, when
-// each is closed before the request is written.
+// maxConnsPerAttempt limits how many connections an attempt acquires one after the
+// other when each fails before the request is written.
 const maxConnsPerAttempt = 3
 
 // Do sends one attempt and returns as soon as ctx ends. It never sends the
--- a/node/backend/doc.go
+++ b/node/backend/doc.go
@@ -7,6 +7,6 @@
 // requests by itself, does not report which connection carried an attempt, and
 // cannot remove a single connection from use. See docs/design/backend-adapter.md.
 //
-// Lock order: Client.mu, then pool.mu, then netConn.mu. batch.mu is held with no
-// other lock.
+// Lock order: Client.mu, then pool.mu, then netConn.mu. batch.mu and
+// ForwardRequest.mu are held with no other lock.
 package backend
--- a/node/backend/exchange.go
+++ b/node/backend/exchange.go
@@ -101,10 +101,10 @@
 const serverReleaseDelay = 100 * time.Millisecond
 
 // scheduleRelease calls onRelease when the backend server no longer works on the
-// request. After a complete reply that is at once. Otherwise the server works on
-// the request until it notices the close, or until the deadline it was given. An
-// earlier release could exceed the concurrency limit of a cold server. The wait is at
-// most CloseTimeout.
+// request: at once after a complete reply, or if nothing was written. Otherwise the
+// server works on the request until it notices the close, or until the deadline it was
+// given. An earlier release could exceed the concurrency limit of a cold server. The
+// wait is at most CloseTimeout.
 func (ex *exchange) scheduleRelease(complete bool, onRelease func()) {
 	if complete || ex.conn.netConn.writesBlockedSince(ex.writes) {
 		onRelease()
@@ -132,7 +132,8 @@
 }
 
 // abandon returns the outcome of an exchange whose ctx has ended. A stream is reset
-// at once; an HTTP/1.1 connection is closed after CancelGrace.
+// at once. An HTTP/1.1 connection is closed after CancelGrace, or at once if nothing was
+// written.
 func (ex *exchange) abandon(ctx context.Context, onRelease func()) Reply {
 	reply := Reply{
 		Reason:        contextReason(ctx),
@@ -168,8 +169,9 @@
 	ex.pool.checkSilenceAfterCancel(ex.conn, ex.sent)
 }
 
-// evidence reports whether the request can have been sent. Under HTTP/2 other
-// streams write to the same connection, so the result is always unknown.
+// evidence reports whether the request can have been sent. When it returns "not run", it
+// has blocked further writes on the connection. Under HTTP/2 other streams write to the
+// same connection, so the result is always unknown.
 func (ex *exchange) evidence() pb.Evidence {
 	if !ex.pool.h2 && ex.conn.netConn.blockWrites(ex.writes) {
 		return pb.Evidence_EVIDENCE_NOT_RUN
--- a/node/backend/execute_test.go
+++ b/node/backend/execute_test.go
@@ -47,8 +47,9 @@
 }
 
 func TestHTTPTransportReplaysExecute(t *testing.T) {
-	// Verifies that the previous test can fail: the connection pool of net/http replays a
-	// request with an Idempotency-Key when a reused connection fails after the write.
+	// Verifies that TestExecuteIsSentOnceOnConnectionFailure can fail: the connection pool of
+	// net/http replays a request with an Idempotency-Key when a reused connection fails after
+	// the write.
 	h := newHarness(t, pb.Protocol_PROTOCOL_HTTP1, standin.Options{}, backend.Options{}, 1)
 	transport := &http.Transport{}
 	defer transport.CloseIdleConnections()
--- a/node/backend/items.go
+++ b/node/backend/items.go
@@ -68,8 +68,8 @@
 }
 
 // readReplies delivers the items' replies as they arrive. state is the replica's state
-// from the response headers. Replies that match no open item are dropped and counted,
-// and their HTTP/1.1 connection is not reused.
+// from the response headers. Mismatched replies are counted, and their HTTP/1.1 connection
+// is not reused. Reading stops when there are more of them than items.
 func (ex *exchange) readReplies(state Reply, body io.Reader) (Reply, bool) {
 	b := ex.call.batch
 	reader := bufio.NewReader(body)
--- a/node/backend/netconn.go
+++ b/node/backend/netconn.go
@@ -13,8 +13,8 @@
 
 var errWritesBlocked = errors.New("writes on the connection are blocked")
 
-// netConn is a TCP connection that records its writes, the time of the last received
-// byte, and whether the peer has closed it.
+// netConn is a TCP connection that counts its writes, and records the time of the last
+// received byte and whether the peer has closed the connection.
 type netConn struct {
 	net.Conn
 	openedAt time.Time
--- a/node/backend/options.go
+++ b/node/backend/options.go
@@ -48,7 +48,8 @@
 	// Event records closed silent connections in the decision ring; may be nil.
 	Event func(kind, subject, detail string)
 	// OnDisconnect is called when a backend server closes a connection, idle or in
-	// use, possibly because of a restart. May be nil.
+	// use, possibly because of a restart. It must not block, since the connection's
+	// reader calls it. May be nil.
 	OnDisconnect func(replica string)
 }
 
--- a/node/backend/pool.go
+++ b/node/backend/pool.go
@@ -81,8 +81,8 @@
 	return pb.Reason_REASON_CANCELLED
 }
 
-// acquire returns a connection for one exchange. While the share is in use, callers
-// wait in order of arrival. Nothing has been sent when it fails.
+// acquire returns a connection for one exchange. While the share is in use, exchanges
+// wait in order of arrival. When acquire fails, nothing has been sent.
 func (p *pool) acquire(ctx context.Context) (*conn, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -127,8 +127,9 @@
 	}
 }
 
-// tryAcquireLocked returns the most recently used connection with capacity, so that
-// surplus ones become idle, or nil. It also prunes closed connections.
+// tryAcquireLocked returns the most recently used connection with capacity, or nil if
+// there is none. Preferring recently used connections lets surplus ones reach their idle
+// timeout. tryAcquireLocked prunes the connections first.
 func (p *pool) tryAcquireLocked() *conn {
 	p.pruneLocked()
 	var best *conn
@@ -202,10 +203,12 @@
 }
 
 // maxOpenLocked returns how many connections may be open now: the share minus those
-// closing, which the backend server still counts. While all are closing, a reserve of
-// a third of the share may be opened, and no more until the server has closed some.
-// With K owners of floor(limit/(K+1)) connections each and K up to 3, the total stays
-// within the limit even if all connections are silent and the reserve is in use.
+// closing, which the backend server still counts. While most or all are closing, a
+// reserve of a third of the share, at least one connection, may be open; open and closing
+// connections together stay within the share plus the reserve. With K owners of
+// floor(L/(K+1)) connections each, where L is the backend server's connection limit, K is
+// up to 3 and the share is at least 3, the total stays within L even if all connections
+// are silent and the reserve is in use.
 func (p *pool) maxOpenLocked() int {
 	if p.limit <= 0 {
 		return 0
--- a/node/backend/reply.go
+++ b/node/backend/reply.go
@@ -119,13 +119,13 @@
 	return status == http.StatusNotFound || status == http.StatusMethodNotAllowed || status == http.StatusNotImplemented
 }
 
-func refusalReason(status int, refused, draining bool) pb.Reason {
+func refusalReason(status int, notRun, draining bool) pb.Reason {
 	switch {
 	case status == http.StatusGone:
 		return pb.Reason_REASON_NO_SNAPSHOT
-	case status == http.StatusServiceUnavailable && refused && draining:
+	case status == http.StatusServiceUnavailable && notRun && draining:
 		return pb.Reason_REASON_LEAVING
-	case status == http.StatusTooManyRequests, status == http.StatusServiceUnavailable && refused:
+	case status == http.StatusTooManyRequests, status == http.StatusServiceUnavailable && notRun:
 		return pb.Reason_REASON_SHED
 	}
 	return pb.Reason_REASON_BACKEND
