--- a/node/directory/directory.go
+++ b/node/directory/directory.go
@@ -72,7 +72,7 @@
 	}
 	message := "following the store"
 	if !on {
-		message = "resting: coordinators follow the store"
+		message = "stopped following the store: coordinators follow it"
 		d.view.Store(nil)
 	}
 	d.opts.Log.Info(message)
@@ -108,7 +108,8 @@
 	}
 }
 
-// View returns the newest view, or nil before the first configuration was read.
+// View returns the newest view, or nil before the first configuration was read and while
+// the node does not follow the store.
 func (d *Directory) View() *View { return d.view.Load() }
 
 // Fleet returns the registered nodes as of the last update.
@@ -171,7 +172,7 @@
 	if r.DecodeError != nil {
 		d.opts.Log.WithError(r.DecodeError).WithFields(logrus.Fields{
 			"record": r.Name, "revision": r.Revision,
-		}).Warn("a record cannot be read: skipped")
+		}).Warn("a record cannot be read")
 	}
 	return d.state.apply(now, r, now.Before(d.outageGraceUntil))
 }
--- a/node/directory/directory_test.go
+++ b/node/directory/directory_test.go
@@ -108,13 +108,13 @@
 				page.Records = append(page.Records, r)
 			}
 		}
-		away, compacted, silent := s.unavailable, after < s.compactedBefore, s.silent
+		unavailable, compacted, silent := s.unavailable, after < s.compactedBefore, s.silent
 		s.mu.Unlock()
 		switch {
 		case silent:
 			<-ctx.Done()
 			return directory.Page{}, ctx.Err()
-		case away:
+		case unavailable:
 			return directory.Page{}, errUnavailable
 		case compacted:
 			return directory.Page{}, directory.ErrCompacted
--- a/node/directory/read.go
+++ b/node/directory/read.go
@@ -8,7 +8,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// callTimeout bounds every call other than a watch. A slow store answers within 250 ms.
+// callTimeout bounds the calls of Run and Register that do not wait for changes. A slow
+// store answers within 250 ms.
 const callTimeout = time.Second
 
 // read reads the whole store. One sequence of pages covers all areas, which needs fewer
--- a/node/directory/register.go
+++ b/node/directory/register.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// registrationTTL allows three failed renewals in a row.
+	// registrationTTL allows two failed renewals in a row. With the jitter of the interval,
+	// the attempt after a third failure is too late.
 	registrationTTL = 12 * time.Second
 	renewInterval   = 3 * time.Second
 )
