--- a/node/forward/answer.go
+++ b/node/forward/answer.go
@@ -70,8 +70,8 @@
 )
 
 // retryAfter returns the delay after which a request that was not run may be repeated: at
-// least twice the baseline latency of the slowest of its services, with jitter, so that
-// refused callers do not return at the same moment.
+// least twice the baseline latency of the slowest of its services, plus jitter, so that
+// refused callers do not return at the same moment. maxRetryAfter bounds the sum.
 func (q *exchange) retryAfter() time.Duration {
 	wait := minRetryAfter
 	for _, s := range q.services {
--- a/node/forward/attempt.go
+++ b/node/forward/attempt.go
@@ -284,7 +284,7 @@
 }
 
 // accepts reports whether a reply is the answer of its shard. On a route that does not
-// gather, a replica's verdict on the request, such as 404, is an answer too.
+// gather, a replica's own answer to the request, such as 404, is accepted too.
 func (q *exchange) accepts(reply *backend.ForwardReply) bool {
 	if successful(reply) {
 		return true
@@ -300,7 +300,7 @@
 func (q *exchange) cancelOthers(shard int) {
 	for i := range q.attempts {
 		if a := &q.attempts[i]; a.shard == shard && !a.ended {
-			a.call.Cancel(loserLinger)
+			a.call.Cancel(cancelLinger)
 		}
 	}
 }
--- a/node/forward/batch.go
+++ b/node/forward/batch.go
@@ -139,7 +139,7 @@
 	for k := range r.Replies {
 		reply := &r.Replies[k].Reply
 		a := &attempts[r.Replies[k].Replica]
-		a.call.Cancel(loserLinger)
+		a.call.Cancel(cancelLinger)
 		q.recordResult(q.services[a.shard], a.state, a.handle, reply)
 		q.f.reach.recordResult(a.replica, reply)
 		if reply.Took > 0 {
--- a/node/forward/batch_test.go
+++ b/node/forward/batch_test.go
@@ -27,13 +27,13 @@
 }
 
 // SendBatch implements forward.BatchSender.
-func (n *fakeBatchSender) SendBatch(ctx context.Context, _ string, b *forward.Batch, deliver func(forward.PartReplies)) (string, bool) {
-	if n.to == nil {
+func (s *fakeBatchSender) SendBatch(ctx context.Context, _ string, b *forward.Batch, deliver func(forward.PartReplies)) (string, bool) {
+	if s.to == nil {
 		return "", false
 	}
-	n.batches.Add(1)
+	s.batches.Add(1)
 	go func() {
-		if n.fails {
+		if s.fails {
 			var r forward.PartReplies
 			for i := range b.Replicas {
 				r.Replies = append(r.Replies, forward.PartReply{Replica: i, Reply: backend.ForwardReply{
@@ -43,14 +43,14 @@
 			deliver(r)
 			return
 		}
-		err := n.to.ServeBatch(ctx, b, func(r forward.PartReplies) error {
-			time.Sleep(n.delay)
+		err := s.to.ServeBatch(ctx, b, func(r forward.PartReplies) error {
+			time.Sleep(s.delay)
 			deliver(r)
 			return nil
 		})
 		if err != nil {
 			now := time.Now()
-			n.cancelledAt.Store(&now)
+			s.cancelledAt.Store(&now)
 		}
 	}()
 	return "other", true
@@ -62,27 +62,27 @@
 
 // Guards against losing parts that arrive merged from another data centre.
 func TestBatchedPartsAreMerged(t *testing.T) {
-	withHarness(t, shards(6, "b"), func(r *harness) {
-		n := &fakeBatchSender{}
-		f := r.node("a", n)
-		n.to = r.node("b", nil)
-		a, took := r.serve(f, 10*ms)
-		r.checkRecords(a)
-		r.Assert(a.Missing, qt.Equals, 0)
-		r.Assert(n.batches.Load(), qt.Equals, int32(1))
-		r.Assert(took < 30*ms, qt.IsTrue, qt.Commentf("took %v", took))
+	withHarness(t, shards(6, "b"), func(h *harness) {
+		sender := &fakeBatchSender{}
+		f := h.node("a", sender)
+		sender.to = h.node("b", nil)
+		a, took := h.serve(f, 10*ms)
+		h.checkRecords(a)
+		h.Assert(a.Missing, qt.Equals, 0)
+		h.Assert(sender.batches.Load(), qt.Equals, int32(1))
+		h.Assert(took < 30*ms, qt.IsTrue, qt.Commentf("took %v", took))
 	})
 }
 
 // Guards against batches that are too small to save any messages.
 func TestSmallGroupIsNotBatched(t *testing.T) {
-	withHarness(t, shards(3, "b"), func(r *harness) {
-		n := &fakeBatchSender{}
-		f := r.node("a", n)
-		n.to = r.node("b", nil)
-		a, _ := r.serve(f, 10*ms)
-		r.checkRecords(a)
-		r.Assert(n.batches.Load(), qt.Equals, int32(0))
+	withHarness(t, shards(3, "b"), func(h *harness) {
+		sender := &fakeBatchSender{}
+		f := h.node("a", sender)
+		sender.to = h.node("b", nil)
+		a, _ := h.serve(f, 10*ms)
+		h.checkRecords(a)
+		h.Assert(sender.batches.Load(), qt.Equals, int32(0))
 	})
 }
 
@@ -90,8 +90,8 @@
 // does not name, when both a batch and a hedge answer.
 func TestBatchAndHedgeReplyCountShardOnce(t *testing.T) {
 	for _, delay := range []time.Duration{0, 30 * ms, 49 * ms, 55 * ms, 60 * ms, 70 * ms} {
-		withHarness(t, shards(6, "b", "c"), func(r *harness) {
-			for id, rep := range r.replicas {
+		withHarness(t, shards(6, "b", "c"), func(h *harness) {
+			for id, rep := range h.replicas {
 				if rep.DataCentre == "c" {
 					rep.latency = 20 * ms
 				}
@@ -100,43 +100,43 @@
 					rep.latency = 300 * ms
 				}
 			}
-			n := &fakeBatchSender{delay: delay}
-			f := r.node("a", n)
-			n.to = r.node("b", nil)
-			a, _ := r.serve(f, 5*ms)
-			r.checkRecords(a)
-			r.checkMaxAttempts()
+			sender := &fakeBatchSender{delay: delay}
+			f := h.node("a", sender)
+			sender.to = h.node("b", nil)
+			a, _ := h.serve(f, 5*ms)
+			h.checkRecords(a)
+			h.checkMaxAttempts()
 		})
 	}
 }
 
 // Guards against losing the shards of a batch whose node fails.
 func TestFailedBatchIsRetriedAtOtherReplicas(t *testing.T) {
-	withHarness(t, shards(6, "b", "c"), func(r *harness) {
-		n := &fakeBatchSender{fails: true}
-		f := r.node("a", n)
-		n.to = f
-		a, _ := r.serve(f, 10*ms)
-		r.checkRecords(a)
-		r.Assert(a.Missing, qt.Equals, 0)
-		r.checkMaxAttempts()
+	withHarness(t, shards(6, "b", "c"), func(h *harness) {
+		sender := &fakeBatchSender{fails: true}
+		f := h.node("a", sender)
+		sender.to = f
+		a, _ := h.serve(f, 10*ms)
+		h.checkRecords(a)
+		h.Assert(a.Missing, qt.Equals, 0)
+		h.checkMaxAttempts()
 	})
 }
 
 // Guards against lost shards and additional attempts when a batch's node does not have the
 // replicas in its view.
 func TestBatchToNodeWithoutReplicasIsSentDirectly(t *testing.T) {
-	withHarness(t, shards(6, "b"), func(r *harness) {
-		n := &fakeBatchSender{}
-		f := r.node("a", n)
+	withHarness(t, shards(6, "b"), func(h *harness) {
+		sender := &fakeBatchSender{}
+		f := h.node("a", sender)
 		// This forwarder has received no replicas.
-		n.to = forward.New(forward.Options{})
-		a, _ := r.serve(f, 10*ms)
-		r.checkRecords(a)
-		r.Assert(a.Missing, qt.Equals, 0)
-		r.Assert(n.batches.Load(), qt.Equals, int32(1))
-		for id, rep := range r.replicas {
-			r.Assert(rep.requestCount(), qt.Equals, 1, qt.Commentf("attempts at %s", id))
+		sender.to = forward.New(forward.Options{})
+		a, _ := h.serve(f, 10*ms)
+		h.checkRecords(a)
+		h.Assert(a.Missing, qt.Equals, 0)
+		h.Assert(sender.batches.Load(), qt.Equals, int32(1))
+		for id, rep := range h.replicas {
+			h.Assert(rep.requestCount(), qt.Equals, 1, qt.Commentf("attempts at %s", id))
 		}
 	})
 }
@@ -144,26 +144,26 @@
 // Guards against replicas that continue to work on a batch after the answer was returned
 // without its parts.
 func TestBatchIsCancelledAfterRequestEnds(t *testing.T) {
-	withHarness(t, shards(6, "b"), func(r *harness) {
-		r.replicas["s0-b"].set(func(rep *replica) { rep.latency = 20 * time.Second })
-		n := &fakeBatchSender{}
-		f := r.node("a", n)
-		n.to = r.node("b", nil)
+	withHarness(t, shards(6, "b"), func(h *harness) {
+		h.replicas["s0-b"].set(func(rep *replica) { rep.latency = 20 * time.Second })
+		sender := &fakeBatchSender{}
+		f := h.node("a", sender)
+		sender.to = h.node("b", nil)
 		began := time.Now()
-		a, took := r.serve(f, 10*ms)
-		r.checkRecords(a)
-		r.Assert(a.Missing, qt.Equals, 1)
+		a, took := h.serve(f, 10*ms)
+		h.checkRecords(a)
+		h.Assert(a.Missing, qt.Equals, 1)
 		time.Sleep(400 * ms)
-		ended := n.cancelledAt.Load()
-		r.Assert(ended, qt.Not(qt.IsNil))
-		r.Assert(ended.Sub(began) <= took+250*ms, qt.IsTrue, qt.Commentf("cancelled after %v", ended.Sub(began)))
+		ended := sender.cancelledAt.Load()
+		h.Assert(ended, qt.Not(qt.IsNil))
+		h.Assert(ended.Sub(began) <= took+250*ms, qt.IsTrue, qt.Commentf("cancelled after %v", ended.Sub(began)))
 	})
 }
 
 // Guards against a node that sends requests to replicas that are not in its own view.
 func TestUnknownReplicaInBatchIsReportedNotRun(t *testing.T) {
-	withHarness(t, shards(1, "b"), func(r *harness) {
-		f := r.node("b", nil)
+	withHarness(t, shards(1, "b"), func(h *harness) {
+		f := h.node("b", nil)
 		var replies []forward.PartReply
 		b := &forward.Batch{
 			Request:  batchedRequest(),
@@ -174,25 +174,25 @@
 			replies = append(replies, p.Replies...)
 			return nil
 		})
-		r.Assert(err, qt.IsNil)
-		r.Assert(replies, qt.HasLen, 2)
+		h.Assert(err, qt.IsNil)
+		h.Assert(replies, qt.HasLen, 2)
 		for _, p := range replies {
 			if p.Replica == 1 {
-				r.Assert(p.Reply.Evidence, qt.Equals, pb.Evidence_EVIDENCE_NOT_RUN)
+				h.Assert(p.Reply.Evidence, qt.Equals, pb.Evidence_EVIDENCE_NOT_RUN)
 				continue
 			}
-			r.Assert(p.Reply.Status, qt.Equals, 200)
+			h.Assert(p.Reply.Status, qt.Equals, 200)
 		}
 	})
 }
 
 // Guards against replicas that work on a request whose caller has disconnected.
 func TestServeBatchStopsWhenSenderCancels(t *testing.T) {
-	withHarness(t, shards(4, "b"), func(r *harness) {
-		for _, rep := range r.replicas {
+	withHarness(t, shards(4, "b"), func(h *harness) {
+		for _, rep := range h.replicas {
 			rep.latency = 30 * time.Second
 		}
-		f := r.node("b", nil)
+		f := h.node("b", nil)
 		ctx, cancel := context.WithTimeout(context.Background(), 50*ms)
 		defer cancel()
 		b := &forward.Batch{
@@ -201,9 +201,9 @@
 		}
 		began := time.Now()
 		err := f.ServeBatch(ctx, b, func(forward.PartReplies) error { return nil })
-		r.Assert(err, qt.Not(qt.IsNil))
-		r.Assert(time.Since(began), qt.Equals, 50*ms)
-		for _, rep := range r.replicas {
+		h.Assert(err, qt.Not(qt.IsNil))
+		h.Assert(time.Since(began), qt.Equals, 50*ms)
+		for _, rep := range h.replicas {
 			rep.set(func(rep *replica) { rep.latency = 0 })
 		}
 	})
@@ -212,13 +212,13 @@
 // Guards against a node that resumes after a pause and sends a batch that its sender has
 // already cancelled.
 func TestCancelledBatchIsNotSent(t *testing.T) {
-	withHarness(t, shards(9, "b"), func(r *harness) {
-		f := r.node("b", nil)
-		r.serve(f, 10*ms)
+	withHarness(t, shards(9, "b"), func(h *harness) {
+		f := h.node("b", nil)
+		h.serve(f, 10*ms)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		b := &forward.Batch{Request: batchedRequest(), Deadline: time.Now().Add(time.Second)}
-		for id := range r.replicas {
+		for id := range h.replicas {
 			b.Replicas = append(b.Replicas, id)
 		}
 		err := f.ServeBatch(ctx, b, func(forward.PartReplies) error {
@@ -226,10 +226,10 @@
 			time.Sleep(10 * ms)
 			return nil
 		})
-		r.Assert(err, qt.Equals, context.Canceled)
+		h.Assert(err, qt.Equals, context.Canceled)
 		time.Sleep(100 * ms)
-		for id, rep := range r.replicas {
-			r.Assert(rep.requestCount(), qt.Equals, 1, qt.Commentf("requests sent to %s", id))
+		for id, rep := range h.replicas {
+			h.Assert(rep.requestCount(), qt.Equals, 1, qt.Commentf("requests sent to %s", id))
 		}
 	})
 }
--- a/node/forward/forward.go
+++ b/node/forward/forward.go
@@ -108,7 +108,7 @@
 	// RetryBudget bounds the retries and hedges of the whole fleet.
 	RetryBudget retrybudget.Bound
 	Log         logrus.FieldLogger
-	// Record is called with each completed request; may be nil.
+	// Record is called with each completed request that matched a route; may be nil.
 	Record func(r *route.Route, a *Answer, took time.Duration)
 }
 
@@ -121,8 +121,8 @@
 	services map[string]*service
 	classes  map[string]*class
 
-	// lineBudget bounds the rate of log lines about requests.
-	lineBudget telemetry.LogLimiter
+	// logLimiter bounds the rate of log lines about requests.
+	logLimiter telemetry.LogLimiter
 	reach      *reachability
 	// replicas holds the replicas of the newest view by ID.
 	replicas atomic.Pointer[map[string]*registry.Replica]
@@ -187,8 +187,9 @@
 	}
 }
 
-// removeUnconfigured deletes the state of services and routes that the configuration no
-// longer contains. It returns all services from before.
+// removeUnconfigured deletes the state of routes that the configuration no longer contains,
+// and of services that it no longer contains and that have no replicas. It returns all
+// services from before.
 func (f *Forwarder) removeUnconfigured(v *directory.View) map[string]*service {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -267,7 +268,7 @@
 const startRetryAfter = 500 * time.Millisecond
 
 func (f *Forwarder) refuse(req *Request, reason string, after time.Duration) Answer {
-	if f.lineBudget.Allow(time.Now(), true) {
+	if f.logLimiter.Allow(time.Now(), true) {
 		f.opts.Log.WithFields(logrus.Fields{
 			"request": req.ID, "outcome": NotRun.String(), "retry_after_ms": after.Milliseconds(),
 		}).Info(reason)
--- a/node/forward/forward_test.go
+++ b/node/forward/forward_test.go
@@ -22,37 +22,37 @@
 
 // Guards against a request without faults that is slow or lacks a shard.
 func TestAnswerContainsAllShards(t *testing.T) {
-	withHarness(t, shards(4, "a", "b"), func(r *harness) {
-		a, took := r.serve(r.node("a", nil), 10*ms)
-		r.checkRecords(a)
-		r.Assert(a.Missing, qt.Equals, 0)
-		r.Assert(took < 20*ms, qt.IsTrue, qt.Commentf("took %v", took))
+	withHarness(t, shards(4, "a", "b"), func(h *harness) {
+		a, took := h.serve(h.node("a", nil), 10*ms)
+		h.checkRecords(a)
+		h.Assert(a.Missing, qt.Equals, 0)
+		h.Assert(took < 20*ms, qt.IsTrue, qt.Commentf("took %v", took))
 	})
 }
 
 // Guards against losing a shard because one replica is paused.
 func TestStalledReplicaIsHedged(t *testing.T) {
-	withHarness(t, shards(4, "a", "b"), func(r *harness) {
-		r.replicas["s0-a"].set(func(rep *replica) { rep.latency = 400 * ms })
-		a, took := r.serve(r.node("a", nil), 10*ms)
-		r.checkRecords(a)
-		r.Assert(a.Missing, qt.Equals, 0)
-		r.Assert(took < 90*ms, qt.IsTrue, qt.Commentf("took %v", took))
-		r.checkMaxAttempts()
+	withHarness(t, shards(4, "a", "b"), func(h *harness) {
+		h.replicas["s0-a"].set(func(rep *replica) { rep.latency = 400 * ms })
+		a, took := h.serve(h.node("a", nil), 10*ms)
+		h.checkRecords(a)
+		h.Assert(a.Missing, qt.Equals, 0)
+		h.Assert(took < 90*ms, qt.IsTrue, qt.Commentf("took %v", took))
+		h.checkMaxAttempts()
 	})
 }
 
 // Guards against losing a shard because its replicas were busy and refused attempts, which
 // can be retried since they have not run.
 func TestRefusedAttemptIsRetried(t *testing.T) {
-	withHarness(t, shards(4, "a", "b"), func(r *harness) {
+	withHarness(t, shards(4, "a", "b"), func(h *harness) {
 		for _, id := range []string{"s0-a", "s0-b"} {
-			r.replicas[id].set(func(rep *replica) { rep.refusals = 2 })
+			h.replicas[id].set(func(rep *replica) { rep.refusals = 2 })
 		}
-		a, _ := r.serve(r.node("a", nil), 10*ms)
-		r.checkRecords(a)
-		r.Assert(a.Missing, qt.Equals, 0)
-		r.checkMaxAttempts()
+		a, _ := h.serve(h.node("a", nil), 10*ms)
+		h.checkRecords(a)
+		h.Assert(a.Missing, qt.Equals, 0)
+		h.checkMaxAttempts()
 	})
 }
 
@@ -60,13 +60,13 @@
 // it.
 func TestAnswerIsReturnedBeforeTransitReserve(t *testing.T) {
 	for _, reserve := range []time.Duration{5 * ms, 30 * ms} {
-		withHarness(t, shards(4, "a"), func(r *harness) {
-			r.replicas["s0-a"].set(func(rep *replica) { rep.latency = 400 * ms })
-			a, took := r.serve(r.node("a", nil), reserve)
-			r.checkRecords(a)
-			r.Assert(a.Missing, qt.Equals, 1)
-			r.Assert(took, qt.Equals, r.route.Objective-reserve)
-			r.Assert(a.Due, qt.Equals, took)
+		withHarness(t, shards(4, "a"), func(h *harness) {
+			h.replicas["s0-a"].set(func(rep *replica) { rep.latency = 400 * ms })
+			a, took := h.serve(h.node("a", nil), reserve)
+			h.checkRecords(a)
+			h.Assert(a.Missing, qt.Equals, 1)
+			h.Assert(took, qt.Equals, h.route.Objective-reserve)
+			h.Assert(a.Due, qt.Equals, took)
 		})
 	}
 }
@@ -75,13 +75,13 @@
 func TestRequestWithTooFewShardsIsRefusedUnsent(t *testing.T) {
 	placement := shards(2, "a")
 	placement["s2"], placement["s3"] = nil, nil
-	withHarness(t, placement, func(r *harness) {
-		a, took := r.serve(r.node("a", nil), 10*ms)
-		r.Assert(a.Outcome, qt.Equals, forward.NotRun)
-		r.Assert(a.RetryAfter > 0, qt.IsTrue)
-		r.Assert(took, qt.Equals, time.Duration(0))
-		for id, rep := range r.replicas {
-			r.Assert(rep.requestCount(), qt.Equals, 0, qt.Commentf("requests sent to %s", id))
+	withHarness(t, placement, func(h *harness) {
+		a, took := h.serve(h.node("a", nil), 10*ms)
+		h.Assert(a.Outcome, qt.Equals, forward.NotRun)
+		h.Assert(a.RetryAfter > 0, qt.IsTrue)
+		h.Assert(took, qt.Equals, time.Duration(0))
+		for id, rep := range h.replicas {
+			h.Assert(rep.requestCount(), qt.Equals, 0, qt.Commentf("requests sent to %s", id))
 		}
 	})
 }
@@ -90,45 +90,45 @@
 // shows that an idle data centre is unreachable too.
 func TestPartitionedNodeIsIsolatedDespiteIdleDataCentre(t *testing.T) {
 	placement := shards(4, "b", "c")
-	withHarness(t, placement, func(r *harness) {
-		r.addReplica("idle", "d")
-		r.addReplica("idle", "e")
-		f := r.node("a", nil)
+	withHarness(t, placement, func(h *harness) {
+		h.addReplica("idle", "d")
+		h.addReplica("idle", "e")
+		f := h.node("a", nil)
 		sendRequests := func(d time.Duration) {
 			for until := time.Now().Add(d); time.Now().Before(until); time.Sleep(50 * ms) {
-				go r.serve(f, 10*ms)
+				go h.serve(f, 10*ms)
 			}
 		}
 		sendRequests(time.Second)
-		r.Assert(f.Isolated(), qt.IsFalse)
+		h.Assert(f.Isolated(), qt.IsFalse)
 		for _, dc := range []string{"b", "c", "d", "e"} {
-			r.network.Cut("a", dc)
+			h.network.Cut("a", dc)
 		}
 		sendRequests(1500 * ms)
-		r.Assert(f.Isolated(), qt.IsTrue)
+		h.Assert(f.Isolated(), qt.IsTrue)
 		for _, dc := range []string{"b", "c", "d", "e"} {
-			r.network.Restore("a", dc)
+			h.network.Restore("a", dc)
 		}
 		sendRequests(1500 * ms)
-		r.Assert(f.Isolated(), qt.IsFalse)
-		a, _ := r.serve(f, 10*ms)
-		r.checkRecords(a)
+		h.Assert(f.Isolated(), qt.IsFalse)
+		a, _ := h.serve(f, 10*ms)
+		h.checkRecords(a)
 	})
 }
 
 // Guards against a node that reports itself isolated although it can answer requests.
 func TestLossOfOneDataCentreDoesNotIsolateNode(t *testing.T) {
-	withHarness(t, shards(4, "b", "c"), func(r *harness) {
-		r.addReplica("idle", "d")
-		f := r.node("a", nil)
-		r.network.Cut("a", "b")
+	withHarness(t, shards(4, "b", "c"), func(h *harness) {
+		h.addReplica("idle", "d")
+		f := h.node("a", nil)
+		h.network.Cut("a", "b")
 		for range 40 {
-			go r.serve(f, 10*ms)
+			go h.serve(f, 10*ms)
 			time.Sleep(50 * ms)
-			r.Assert(f.Isolated(), qt.IsFalse)
+			h.Assert(f.Isolated(), qt.IsFalse)
 		}
-		a, _ := r.serve(f, 10*ms)
-		r.checkRecords(a)
-		r.Assert(a.Missing, qt.Equals, 0)
+		a, _ := h.serve(f, 10*ms)
+		h.checkRecords(a)
+		h.Assert(a.Missing, qt.Equals, 0)
 	})
 }
--- a/node/forward/harness_test.go
+++ b/node/forward/harness_test.go
@@ -155,9 +155,9 @@
 
 // withHarness runs a test in virtual time. placement maps each shard to the data centres
 // of its replicas.
-func withHarness(t *testing.T, placement map[string][]string, test func(r *harness)) {
+func withHarness(t *testing.T, placement map[string][]string, test func(h *harness)) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &harness{
+		h := &harness{
 			C:        qt.New(t),
 			network:  memnet.New(time.Millisecond),
 			view:     &directory.View{Replicas: make(map[string][]*registry.Replica), At: time.Now()},
@@ -168,50 +168,50 @@
 			},
 		}
 		for shard, centres := range placement {
-			r.route.Shards = append(r.route.Shards, shard)
+			h.route.Shards = append(h.route.Shards, shard)
 			for _, dc := range centres {
-				r.addReplica(shard, dc)
+				h.addReplica(shard, dc)
 			}
 		}
 		defer func() {
 			// Closing a connection between two reads would block virtual time.
 			time.Sleep(time.Second)
-			for _, stop := range r.closers {
+			for _, stop := range h.closers {
 				stop()
 			}
 			time.Sleep(time.Minute)
 		}()
-		test(r)
+		test(h)
 	})
 }
 
 // addReplica starts a replica of a shard in a data centre. Its ID is shard-dc.
-func (r *harness) addReplica(shard, dc string) {
-	l, err := r.network.Listen(dc, "127.0.0.1:0")
-	r.Assert(err, qt.IsNil)
+func (h *harness) addReplica(shard, dc string) {
+	l, err := h.network.Listen(dc, "127.0.0.1:0")
+	h.Assert(err, qt.IsNil)
 	id := shard + "-" + dc
 	rep := &replica{
 		Replica: registry.Replica{ID: id, Service: shard, Address: l.Addr().String(), DataCentre: dc},
 		latency: 5 * time.Millisecond,
 	}
-	r.replicas[id] = rep
-	r.view.Replicas[shard] = append(r.view.Replicas[shard], &rep.Replica)
-	r.closers = append(r.closers, func() { _ = l.Close() }, rep.close)
+	h.replicas[id] = rep
+	h.view.Replicas[shard] = append(h.view.Replicas[shard], &rep.Replica)
+	h.closers = append(h.closers, func() { _ = l.Close() }, rep.close)
 	go rep.listen(l)
 }
 
 // node starts the forwarder of a node in a data centre.
-func (r *harness) node(dc string, sender forward.BatchSender) *forward.Forwarder {
-	if r.view.Index == nil {
-		r.view.Index = route.NewIndex(&route.Configuration{Version: 1, Routes: []route.Route{r.route}})
+func (h *harness) node(dc string, sender forward.BatchSender) *forward.Forwarder {
+	if h.view.Index == nil {
+		h.view.Index = route.NewIndex(&route.Configuration{Version: 1, Routes: []route.Route{h.route}})
 	}
 	client := backend.New(backend.Options{
-		Dial: r.network.Dialer(dc), DialTimeout: 500 * time.Millisecond, CloseTimeout: time.Second,
+		Dial: h.network.Dialer(dc), DialTimeout: 500 * time.Millisecond, CloseTimeout: time.Second,
 	})
-	f := forwarder(r.view, client, dc, sender)
+	f := forwarder(h.view, client, dc, sender)
 	ctx, cancel := context.WithCancel(context.Background())
 	go f.Run(ctx)
-	r.closers = append(r.closers, cancel, client.Close)
+	h.closers = append(h.closers, cancel, client.Close)
 	return f
 }
 
@@ -234,7 +234,7 @@
 }
 
 // serve serves one request and returns its answer and latency.
-func (r *harness) serve(f *forward.Forwarder, reserve time.Duration) (forward.Answer, time.Duration) {
+func (h *harness) serve(f *forward.Forwarder, reserve time.Duration) (forward.Answer, time.Duration) {
 	began := time.Now()
 	a := f.Serve(context.Background(), &forward.Request{
 		ID: "q", Method: http.MethodGet, Target: "/x", Path: "/x", Host: "h.example",
@@ -246,14 +246,14 @@
 
 // checkRecords checks that an answer holds at most one part of each shard, exactly the
 // records of these parts, and the right number of missing shards.
-func (r *harness) checkRecords(a forward.Answer) {
-	r.Assert(a.Outcome, qt.Equals, forward.Merged)
+func (h *harness) checkRecords(a forward.Answer) {
+	h.Assert(a.Outcome, qt.Equals, forward.Merged)
 	seen := make(map[string]bool)
 	want := make(map[string]bool)
 	for _, signature := range a.Signatures {
 		id := signature[len("of-"):]
-		shard := r.replicas[id].Service
-		r.Assert(seen[shard], qt.IsFalse, qt.Commentf("two parts of shard %s", shard))
+		shard := h.replicas[id].Service
+		h.Assert(seen[shard], qt.IsFalse, qt.Commentf("two parts of shard %s", shard))
 		seen[shard] = true
 		want[record(id)] = true
 	}
@@ -261,19 +261,19 @@
 	for body := a.Body; len(body) > 0; body = body[16:] {
 		got[string(body[:16])] = true
 	}
-	r.Assert(got, qt.DeepEquals, want)
-	r.Assert(len(a.Signatures)+a.Missing, qt.Equals, len(r.route.Shards))
+	h.Assert(got, qt.DeepEquals, want)
+	h.Assert(len(a.Signatures)+a.Missing, qt.Equals, len(h.route.Shards))
 }
 
 // checkMaxAttempts checks that no shard was sent to more replicas than the route allows.
-func (r *harness) checkMaxAttempts() {
+func (h *harness) checkMaxAttempts() {
 	replicasUsed := make(map[string]int)
-	for _, rep := range r.replicas {
+	for _, rep := range h.replicas {
 		if rep.requestCount() > 0 {
 			replicasUsed[rep.Service]++
 		}
 	}
 	for shard, n := range replicasUsed {
-		r.Assert(n <= r.route.MaxAttempts, qt.IsTrue, qt.Commentf("shard %s was sent to %d replicas", shard, n))
+		h.Assert(n <= h.route.MaxAttempts, qt.IsTrue, qt.Commentf("shard %s was sent to %d replicas", shard, n))
 	}
 }
--- a/node/forward/requestlog.go
+++ b/node/forward/requestlog.go
@@ -99,14 +99,14 @@
 	Reason  string  `json:"why,omitempty"`
 }
 
-// log writes one line about the request, as far as the line budget allows: its limit for
+// log writes one line about the request, as far as the log limiter allows: its limit for
 // failed, incomplete and late requests is higher than for others. The line of such a request
 // omits attempts that answered early and without a fault.
 func (q *exchange) log(a *Answer) {
 	took := q.elapsed()
 	late := q.route.Objective > 0 && took > q.route.Objective
 	fault := a.Outcome >= NoRoute || a.Missing > 0 || late
-	if !q.f.lineBudget.Allow(time.Now(), fault) {
+	if !q.f.logLimiter.Allow(time.Now(), fault) {
 		return
 	}
 	attempts := make([]attemptLine, 0, len(q.attempts))
--- a/node/forward/run.go
+++ b/node/forward/run.go
@@ -14,15 +14,16 @@
 const (
 	// answerMargin is subtracted from the caller's timeout, for the transit of the answer.
 	answerMargin = 8 * time.Millisecond
-	// timerTolerance is how late the timer of an answer may fire.
+	// timerTolerance is how late the timer of the objective may fire for the answer to count
+	// as due at the objective.
 	timerTolerance = 10 * time.Millisecond
 	// defaultCallerTimeout applies to requests without a timeout of the caller or the
 	// route.
 	defaultCallerTimeout = 30 * time.Second
-	// loserLinger is how long an attempt whose answer is no longer needed may continue, so
-	// that its connection can be reused. It covers a typical pause of a replica. A new
-	// connection would cost the replica a slot.
-	loserLinger = 250 * time.Millisecond
+	// cancelLinger is how long an attempt whose answer is no longer needed may continue, so
+	// that its connection can be reused. It covers a typical pause of a replica. Replacing
+	// the connection would cost the replica a slot.
+	cancelLinger = 250 * time.Millisecond
 )
 
 // exchange is one request in progress. Only the goroutine of serve changes its fields. The
@@ -174,7 +175,7 @@
 // cancelOutstanding ends the attempts that are in flight. When the caller has disconnected
 // or the deadline has passed, they are cancelled at once, which frees their replicas.
 func (q *exchange) cancelOutstanding() {
-	linger := loserLinger
+	linger := cancelLinger
 	if q.cancelled || time.Now().After(q.deadline) {
 		linger = 0
 	}
--- a/node/forward/servebatch.go
+++ b/node/forward/servebatch.go
@@ -28,7 +28,7 @@
 	calls := f.sendBatch(b, inbox)
 	defer func() {
 		for _, call := range calls {
-			call.Cancel(loserLinger)
+			call.Cancel(cancelLinger)
 		}
 	}()
 	var waiting []PartReply
