--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -47,8 +47,9 @@
 
 // Gateway is one forwarding node.
 type Gateway struct {
-	settings  *pb.Settings
-	log       logrus.FieldLogger
+	settings *pb.Settings
+	log      logrus.FieldLogger
+	// boot is a random ID of this run of the process.
 	boot      uint64
 	ring      *ring.Ring
 	metrics   *telemetry.Metrics
@@ -80,7 +81,8 @@
 // updateView applies a new view of the directory.
 func (g *Gateway) updateView(v *directory.View) { g.forwarder.Update(v) }
 
-// record counts a request that was answered by this node.
+// record counts a request that was answered by this node, for its own caller or for a node
+// that relayed the request.
 func (g *Gateway) record(r *route.Route, a *forward.Answer, took time.Duration) {
 	g.countQuery(telemetry.Query{Service: r.Name, Class: r.Name, Latency: took, OnTime: took <= r.Objective}, a)
 }
