--- a/node/relay/exchange.go
+++ b/node/relay/exchange.go
@@ -21,7 +21,7 @@
 	offerTimeout = 90 * time.Millisecond
 	// pauseThreshold is the delay of a timer from which this process counts as paused.
 	pauseThreshold = 15 * time.Millisecond
-	// answerMargin is how much longer than the caller's timeout an exchange lasts. The
+	// answerMargin is how much longer than the caller's timeout an exchange may last. The
 	// coordinator itself answers before the caller's timeout.
 	answerMargin = 300 * time.Millisecond
 )
--- a/node/relay/heartbeat.go
+++ b/node/relay/heartbeat.go
@@ -219,9 +219,10 @@
 	answers  int
 }
 
-// updateFollowing makes this node follow the store after it had no current coordinator for
-// followDelay and the store answers, and stop following it after it had one for
-// unfollowDelay.
+// updateFollowing makes this node follow the store once the node has had no current
+// coordinator for followDelay and the store has answered storeProbesRequired probes in a
+// row. It makes the node stop following the store once the node has had a current
+// coordinator for unfollowDelay, unless the node is shutting down.
 func (r *Relay) updateFollowing(ctx context.Context, s *followState) {
 	now := time.Now()
 	if c := r.connection().Current; c != s.current {
--- a/node/relay/neighbours.go
+++ b/node/relay/neighbours.go
@@ -22,7 +22,7 @@
 )
 
 // firstReplyTimeout is how long a node may take until its first reply to a batch. After
-// that it is marked as failed and receives no further batches.
+// that the node is marked as failed and receives no batches until it answers a heartbeat.
 const firstReplyTimeout = 90 * time.Millisecond
 
 // Neighbours implements forward.BatchSender over the connections between nodes. Safe for
@@ -144,9 +144,10 @@
 	}
 }
 
-// markFailed marks a neighbour as failed. Its connection is replaced, unless only a replica
-// was unknown: a connection whose state was lost on the network path would lose heartbeats
-// too.
+// markFailed marks a neighbour as failed. At the neighbour's first failure its connection is
+// replaced, since a connection whose state was lost on the network path would lose heartbeats
+// too. The connection is kept when the neighbour only lacks a replica or does not support
+// batches.
 func (n *Neighbours) markFailed(to coordinator.Member, err error) {
 	n.mu.Lock()
 	first := false
--- a/node/relay/relay.go
+++ b/node/relay/relay.go
@@ -28,8 +28,9 @@
 	// coordinator.
 	coordinatorWait = 600 * time.Millisecond
 	// configurationWait bounds the wait for a configuration. A request waits for a first
-	// one until this time after the node began to follow the store, and for a newer one for
-	// this long. Then it is refused, so that its caller can retry on another node.
+	// configuration until this long after the node began to follow the store, and for a
+	// newer configuration at most this long. Then the request is refused, so that its caller
+	// can retry on another node.
 	configurationWait = 400 * time.Millisecond
 	// localRetryAfter is the retry delay sent with a request that this node refuses.
 	localRetryAfter = 500 * time.Millisecond
@@ -49,15 +50,16 @@
 	// Leaving reports whether the node is shutting down.
 	Leaving func() bool
 	Log     logrus.FieldLogger
-	// Record is called with the answer of each request that was not served by Local; may be
+	// Record is called with the answer of each request that ended at a coordinator: answered,
+	// refused because the data centre is isolated, lost, or abandoned by its caller; may be
 	// nil.
 	Record func(a *forward.Answer, took time.Duration)
 }
 
 // Relay sends callers' requests to coordinators. Safe for concurrent use.
 type Relay struct {
-	opts      Options
-	logBudget telemetry.LogLimiter
+	opts       Options
+	logLimiter telemetry.LogLimiter
 
 	// maxBodyBytes is the limit of request bodies that a coordinator reported last; 0 for
 	// none.
@@ -117,9 +119,9 @@
 // none.
 func (r *Relay) MaxBodyBytes() int64 { return r.maxBodyBytes.Load() }
 
-// awaitCoordinator returns a coordinator for a request. It waits for one while one may
-// return, unless this node has a configuration. Without the wait, a restart of the whole
-// fleet makes every node read the store.
+// awaitCoordinator returns a coordinator for a request. If there is none and none was tried,
+// it waits as long as a coordinator may return, unless this node has a configuration.
+// Without the wait, a restart of the whole fleet makes every node read the store.
 func (r *Relay) awaitCoordinator(ctx context.Context, tried map[string]bool) (coordinator.Member, coordinator.Condition, bool) {
 	for {
 		to, condition, ok := r.pickCoordinator(tried)
@@ -203,7 +205,7 @@
 		r.logLost(to, req)
 		return forward.Answer{Outcome: forward.Failed}, true
 	}
-	if r.logBudget.Allow(time.Now(), true) {
+	if r.logLimiter.Allow(time.Now(), true) {
 		r.opts.Log.WithFields(logrus.Fields{
 			"request": req.ID, "coordinator": to.Node, "refusal": result.refusal.String(),
 			"took_ms": time.Since(start).Milliseconds(), logrus.ErrorKey: err,
@@ -214,7 +216,7 @@
 
 // logLost logs that a request was lost with its coordinator.
 func (r *Relay) logLost(to coordinator.Member, req *forward.Request) {
-	if r.logBudget.Allow(time.Now(), true) {
+	if r.logLimiter.Allow(time.Now(), true) {
 		r.opts.Log.WithFields(logrus.Fields{
 			"request": req.ID, "coordinator": to.Node, "outcome": forward.Failed.String(),
 			"took_ms": time.Since(req.Arrived).Milliseconds(),
@@ -287,7 +289,7 @@
 
 // refuse answers a request that no node has run.
 func (r *Relay) refuse(req *forward.Request) forward.Answer {
-	if r.logBudget.Allow(time.Now(), true) {
+	if r.logLimiter.Allow(time.Now(), true) {
 		r.opts.Log.WithFields(logrus.Fields{
 			"request": req.ID, "outcome": forward.NotRun.String(), "retry_after_ms": localRetryAfter.Milliseconds(),
 			"took_ms": time.Since(req.Arrived).Milliseconds(),
--- a/node/relay/relay_test.go
+++ b/node/relay/relay_test.go
@@ -92,7 +92,7 @@
 }
 
 // Guards against a small node without coordinators that does not follow the store, and
-// against one that follows it for good or stops too early when they return.
+// against one that, when coordinators return, never stops following it or stops too early.
 func TestSmallNodeFollowsStoreWithoutCoordinators(t *testing.T) {
 	runTest(t, func(c *cluster) {
 		c.network.Cut(c.small.host, c.coordinators[0].host)
