--- a/node/ring/ring.go
+++ b/node/ring/ring.go
@@ -35,11 +35,13 @@
 type Ring struct {
 	count func(kind string)
 
+	// mu guards the fields below.
 	mu sync.Mutex
-	// mu guards entries and next. entries[sequence % len] holds the decision with that
-	// sequence number. Sequence numbers start at 0.
+	// entries[sequence % len] holds the decision with that sequence number. Sequence numbers
+	// start at 0.
 	entries []Decision
-	next    uint64
+	// next is the sequence number of the next decision.
+	next uint64
 }
 
 // New returns a ring for size decisions, at least 1. It calls count for each decision
