--- a/node/gateway/gateway.go
+++ b/node/gateway/gateway.go
@@ -178,7 +178,8 @@
 }
 
 // balancerDelay returns how long the balancer may still send callers to this node although
-// it cannot answer them. A caller that retries earlier may be refused again.
+// it cannot answer them. A caller that retries earlier may be refused again, and many
+// callers retry only once.
 func (g *Gateway) balancerDelay(now time.Time) time.Duration {
 	since := g.unservingSince.Load()
 	if since == nil {
