--- a/cmd/carobmillctl/fleet_test.go
+++ b/cmd/carobmillctl/fleet_test.go
@@ -16,9 +16,9 @@
 	"github.com/carobmill/carobmill/standin/authority"
 )
 
-// A data centre is set out of service in the accepted sheet. sheet publish finds the eight
-// nodes through the platform's VM list, and returns only when all of them have the version
-// in force.
+// Guards against a publish that reports success before the version is in force on every
+// node. The nodes are found through the platform's VM list. The sheet sets one data centre
+// out of service.
 func TestPublishedDataCentreStateIsInForceOnAllNodes(t *testing.T) {
 	c := qt.New(t)
 	s, faults := sheetfile.Load(kenyaSheet)
--- a/cmd/load/load_test.go
+++ b/cmd/load/load_test.go
@@ -60,9 +60,9 @@
 	c.Assert(math.Abs(first/float64(n)-0.75) < 0.01, qt.IsTrue)
 }
 
+// Guards against latencies that omit the wait during a stall of the server, and against
+// totals without the requests above the in-flight limit.
 func TestLatencyIncludesWaitFromIntendedSendTime(t *testing.T) {
-	// The server stalls for 300 ms. Guards against latencies that omit the wait, and
-	// against requests above the in-flight limit missing from the totals.
 	c := qt.New(t)
 	const stall = 300 * time.Millisecond
 	start := time.Now()
--- a/cmd/load/plot.go
+++ b/cmd/load/plot.go
@@ -182,7 +182,7 @@
 		}
 		bars, err := plotter.NewBarChart(values, barWidth)
 		if err != nil {
-			return nil, errors.Wrap(err, "bars")
+			return nil, errors.Wrap(err, "create bars")
 		}
 		bars.Color = plotutil.Color(o) //nolint:misspell // gonum's names
 		if below != nil {
@@ -200,7 +200,7 @@
 func addLine(p *plot.Plot, points plotter.XYs, colour, dashes int, name string) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
-		return errors.Wrap(err, "line")
+		return errors.Wrap(err, "create line")
 	}
 	line.Color = plotutil.Color(colour) //nolint:misspell // gonum's names
 	line.Dashes = plotutil.Dashes(dashes)
