--- a/node/fleet/bench_test.go
+++ b/node/fleet/bench_test.go
@@ -58,9 +58,8 @@
 	}
 }
 
-// BenchmarkQueryPath measures the operations of this package for one query to 1,700
-// shards, at 8 and 750 nodes. BenchmarkChange measures applying the change of one
-// member.
+// BenchmarkQueryPath measures one call of Owners and one envelope sent and received,
+// at 8 and 750 nodes.
 //
 //	go test ./node/fleet -run - -bench .
 func BenchmarkQueryPath(b *testing.B) {
@@ -82,6 +81,7 @@
 	}
 }
 
+// BenchmarkChange measures applying the change of one member.
 func BenchmarkChange(b *testing.B) {
 	for _, count := range []int{8, 750} {
 		f := newLargeFleet(count)
--- a/node/fleet/claim.go
+++ b/node/fleet/claim.go
@@ -18,7 +18,7 @@
 	// blockedRoundsForEvent is the number of consecutive rounds with a missing
 	// consent after which an event is recorded.
 	blockedRoundsForEvent = 4
-	// maxClaims limits the claims in one message, and its releases.
+	// maxClaims limits the claims in one message, and separately the releases.
 	maxClaims = 256
 )
 
@@ -130,6 +130,8 @@
 	return round, messages
 }
 
+// addClaims adds a claim of the replica to the message to each node. The caller
+// holds mu.
 func (f *Fleet) addClaims(messages map[Member]*claimMessage, replica string, nodes []ownership.Node) {
 	for _, node := range nodes {
 		if msg := f.messageTo(messages, node); msg != nil && len(msg.claims) < maxClaims {
@@ -138,6 +140,8 @@
 	}
 }
 
+// addReleases adds a release of the replica to the message to each node. The caller
+// holds mu.
 func (f *Fleet) addReleases(messages map[Member]*claimMessage, replica string, nodes []ownership.Node) {
 	for _, node := range nodes {
 		if msg := f.messageTo(messages, node); msg != nil && len(msg.releases) < maxClaims {
@@ -160,7 +164,8 @@
 }
 
 // sendClaimMessage sends one message of a round and records the grants and releases
-// in the response.
+// in the response. sent is the time that was passed to BeginClaim, from which the
+// leases run.
 func (f *Fleet) sendClaimMessage(ctx context.Context, sent time.Time, round uint64, member Member, msg *claimMessage) {
 	ctx, cancel := context.WithTimeout(ctx, f.timing.pingTimeout)
 	defer cancel()
@@ -189,7 +194,7 @@
 	}
 }
 
-// endGrants ends grants whose claimant releases the replicas.
+// endGrants ends this node's grants of the released replicas to a claimant.
 func (f *Fleet) endGrants(from ownership.Node, round uint64, releases []string) {
 	now := time.Now()
 	f.mu.Lock()
--- a/node/fleet/cluster_test.go
+++ b/node/fleet/cluster_test.go
@@ -272,7 +272,7 @@
 	c.publish(conf)
 }
 
-// setStaleEntry makes the platform return an outdated entry.
+// setStaleEntry makes the platform return an outdated entry. A nil entry ends this.
 func (p *fakePlatform) setStaleEntry(c *cluster, entry *Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -468,7 +468,7 @@
 	}
 }
 
-func allSeeAlive(nodes []*testNode, usable int) func() bool {
+func allSeeAlive(nodes []*testNode, alive int) func() bool {
 	return func() bool {
 		for _, n := range nodes {
 			count := 0
@@ -477,7 +477,7 @@
 					count++
 				}
 			}
-			if count != usable {
+			if count != alive {
 				return false
 			}
 		}
--- a/node/fleet/cold.go
+++ b/node/fleet/cold.go
@@ -38,9 +38,9 @@
 //
 // Call it immediately before each send. The permission expires, so a node that was
 // paused does not send on an outdated permission. The first call for a replica
-// returns false and starts a claim. Call it only while the replica is cold, or
-// always for a service with silent cold starts: each call extends the claim and its
-// messages by claimRetention.
+// starts a claim. MayUseCold returns false until the required nodes have granted the
+// claim. Call it only while the replica is cold, or always for a service with silent
+// cold starts: each call extends the claim and its messages by claimRetention.
 func (f *Fleet) MayUseCold(r *config.Replica) bool {
 	now := time.Now()
 	v := f.view.Load()
@@ -75,7 +75,7 @@
 // mustDelayClaims reports whether this node joined too recently to claim replicas.
 // While it is joining, it may lack records of other nodes. In a data centre with
 // more than MaxGranters other nodes, a claimant that has no record of this node may
-// hold the consents of different nodes.
+// hold the consents of different nodes. The caller holds mu.
 func (f *Fleet) mustDelayClaims(now time.Time, ranking ownership.Ranking) bool {
 	candidateCount := len(ranking.Higher) + len(ranking.Lower)
 	return f.isJoining(now) || candidateCount > claimParams.MaxGranters && now.Sub(f.joinedAt) < joinPropagation
--- a/node/fleet/cold_test.go
+++ b/node/fleet/cold_test.go
@@ -115,12 +115,12 @@
 		nodes, first, second := startWithColdReplica(t, c)
 		first.kill()
 		time.Sleep(500 * time.Millisecond)
-		replaced := c.start(first.name, first.dc, "10.0.0.2", "10.0.0.3")
-		if got := coldReplicaUser(t, []*testNode{replaced, second}, 8*time.Second); got != replaced {
+		newBoot := c.start(first.name, first.dc, "10.0.0.2", "10.0.0.3")
+		if got := coldReplicaUser(t, []*testNode{newBoot, second}, 8*time.Second); got != newBoot {
 			t.Fatal("the new boot does not use the cold replica")
 		}
 		for _, m := range nodes[4].Members() {
-			if m.Name == first.name && (m.Boot != replaced.Self().Boot || m.State != pb.MemberState_MEMBER_STATE_ALIVE) {
+			if m.Name == first.name && (m.Boot != newBoot.Self().Boot || m.State != pb.MemberState_MEMBER_STATE_ALIVE) {
 				t.Fatalf("unexpected member entry after the replacement: %+v", m)
 			}
 		}
--- a/node/fleet/configuration_test.go
+++ b/node/fleet/configuration_test.go
@@ -102,9 +102,9 @@
 		c.publish(testConfiguration(1))
 		nodes := c.startEightNodes()
 		c.waitFor(10*time.Second, "all nodes start", func() bool { return allAtVersion(nodes, 1)() && allSeeAlive(nodes, 8)() })
-		quiet := c.callsPerSecond(10 * time.Minute)
+		before := c.callsPerSecond(10 * time.Minute)
 		c.setPlatformDown(true)
-		down := c.callsPerSecond(3 * time.Hour)
+		during := c.callsPerSecond(3 * time.Hour)
 		if !allAtVersion(nodes, 1)() || !allSeeAlive(nodes, 8)() {
 			t.Fatal("the configuration or the members changed during the outage")
 		}
@@ -114,9 +114,9 @@
 		c.setPlatformDown(false)
 		c.publish(testConfiguration(2))
 		took := c.waitFor(15*time.Second, "version 2 everywhere", allAtVersion(nodes, 2))
-		t.Logf("platform calls per second by 8 nodes: %.2f before the outage, %.2f during it; change in force %v after it", quiet, down, took)
-		if quiet > 2 || down > 4 {
-			t.Fatalf("too many platform calls per second: %.2f before the outage, %.2f during it", quiet, down)
+		t.Logf("platform calls per second by 8 nodes: %.2f before the outage, %.2f during it; change in force %v after it", before, during, took)
+		if before > 2 || during > 4 {
+			t.Fatalf("too many platform calls per second: %.2f before the outage, %.2f during it", before, during)
 		}
 	})
 }
--- a/node/fleet/envelope.go
+++ b/node/fleet/envelope.go
@@ -114,7 +114,7 @@
 
 // Receive validates and applies the envelope of a message from a peer. If it
 // returns an error, the message must be discarded. The error is a
-// NameMismatchError, a ProtocolMismatchError or ErrTooLarge.
+// *NameMismatchError, a *ProtocolMismatchError or ErrTooLarge.
 func (f *Fleet) Receive(env *pb.Envelope) error {
 	if err := f.checkEnvelope(env); err != nil {
 		f.stats.refused.Add(1)
--- a/node/fleet/fleet.go
+++ b/node/fleet/fleet.go
@@ -80,13 +80,13 @@
 	log    logrus.FieldLogger
 
 	// mu guards the fields from here to pendingEvents.
-	mu    sync.Mutex
-	table *membership.Table
-	state *configstate.State
-	rng   *rand.Rand
+	mu     sync.Mutex
+	table  *membership.Table
+	state  *configstate.State
+	rng    *rand.Rand
+	claims *ownership.Claims
 	// coldReplicas holds, by name, the replicas for which MayUseCold was recently
 	// called.
-	claims       *ownership.Claims
 	coldReplicas map[string]coldReplica
 	// joinedAt is when this boot joined: at the start of the process or at its last
 	// rejoin.
@@ -246,7 +246,7 @@
 }
 
 // jitter returns a random duration between d/2 and 3d/2. Without jitter, nodes that
-// start or fail together would act at the same time.
+// start or fail together would act at the same time. The caller does not hold mu.
 func (f *Fleet) jitter(d time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/node/fleet/join.go
+++ b/node/fleet/join.go
@@ -63,9 +63,10 @@
 }
 
 // joinPeers joins peers in rounds until no new peer answers, and reports whether
-// the join is complete. It is complete when no peers remain and another member or
-// the platform is reachable. It is also complete when there is another member and
-// none of the remaining peers is an expected peer.
+// the join is complete. If no peers remain, the join is complete when there is
+// another member or the platform is reachable. If the remaining peers do not answer,
+// the join is complete when there is another member and none of the remaining peers
+// is an expected peer.
 func (f *Fleet) joinPeers(ctx context.Context) bool {
 	for {
 		peersToJoin := f.peersToJoin(f.candidateAddresses(ctx))
@@ -109,8 +110,8 @@
 }
 
 // peersToJoin returns the addresses that have not answered a join, those of this
-// node's data centre first. It returns all addresses of this data centre, and
-// others until maxStartPeers peers have answered.
+// node's data centre first. It returns all addresses of this data centre. Other
+// addresses are added only up to the number of answers missing from maxStartPeers.
 func (f *Fleet) peersToJoin(addrs []string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -204,7 +205,7 @@
 }
 
 // join requests the full member table of a peer. It returns the envelope of the
-// response, and whether the peer answered.
+// response, and whether the peer answered with a valid envelope.
 func (f *Fleet) join(ctx context.Context, addr string) (*pb.Envelope, bool) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
--- a/node/fleet/join_test.go
+++ b/node/fleet/join_test.go
@@ -53,7 +53,7 @@
 
 // Two nodes of a data centre start together and join through members of other data
 // centres. At first neither has a record of the other. They must not both use the
-// cold replica, which can serve only one request.
+// cold replica, which can serve only one request at a time.
 func TestNodesThatStartTogetherDoNotBothUseColdReplica(t *testing.T) {
 	for gap := time.Duration(0); gap < 400*time.Millisecond; gap += 20 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
--- a/node/fleet/ping.go
+++ b/node/fleet/ping.go
@@ -120,7 +120,8 @@
 	}
 }
 
-// pingIndirectly asks several members to ping the target, concurrently.
+// pingIndirectly requests several members to ping the target, concurrently. It
+// reports whether any of them received an answer.
 func (f *Fleet) pingIndirectly(ctx context.Context, target Member) bool {
 	f.mu.Lock()
 	helpers := f.table.Helpers(target.ID(), indirectPingHelpers)
@@ -186,8 +187,8 @@
 	return resp, nil
 }
 
-// pingOnBehalf pings a member for another node. It returns false if no member has
-// that name.
+// pingOnBehalf pings a member for another node and reports whether it answered. It
+// returns false if no other member has that name.
 func (f *Fleet) pingOnBehalf(ctx context.Context, name string) bool {
 	f.mu.Lock()
 	targets := f.table.ByName(name)
--- a/node/fleet/platform.go
+++ b/node/fleet/platform.go
@@ -79,7 +79,8 @@
 	return entry.Revision, nil
 }
 
-// offerEntry puts the configuration of an entry in force if its version is higher.
+// offerEntry puts the configuration of an entry in force if its version is higher,
+// and reports whether it did.
 func (f *Fleet) offerEntry(entry Entry) bool {
 	raw, err := decodeConfiguration(entry)
 	if err != nil {
--- a/node/fleet/pull.go
+++ b/node/fleet/pull.go
@@ -10,8 +10,8 @@
 	"github.com/carobmill/carobmill/node/work"
 )
 
-// ErrBusy reports that this node has reached its rate limit for pulls. The peer
-// then pulls from another member.
+// ErrBusy reports that this node has reached its rate limit for serving pulls. The
+// peer then pulls from another member.
 var ErrBusy = errors.New("too many pulls at once")
 
 func formatVersion(version uint64) string {
@@ -72,7 +72,7 @@
 const maxPullSources = 2
 
 // pullFrom pulls from up to maxPullSources peers until one returns a newer
-// configuration.
+// configuration, and reports whether one did.
 func (f *Fleet) pullFrom(ctx context.Context, addrs []string) bool {
 	for i, addr := range addrs {
 		if i == maxPullSources {
--- a/node/fleet/start_test.go
+++ b/node/fleet/start_test.go
@@ -66,7 +66,7 @@
 
 // Nodes that start together claim cold replicas, and grant claims, before they have
 // records of all higher-ranked nodes. Consents of such claims must be released.
-// Otherwise the replicas would stay unused until the consents expire after 23 s.
+// Otherwise the replicas would stay unused until the grants expire after 23 s.
 func TestConsentsOfSimultaneousStartAreReleased(t *testing.T) {
 	for _, tc := range []struct {
 		nodes       int
--- a/node/fleet/timing.go
+++ b/node/fleet/timing.go
@@ -27,8 +27,9 @@
 	// leaveFanOut is the number of members that a leaving node notifies directly.
 	leaveFanOut = 16
 
-	// maxStartPeers is the maximum number of peers that a starting node joins in
-	// one round.
+	// maxStartPeers is the maximum number of peers that a starting node queries for
+	// their configuration version in one round. joinLoop also stops adding peers of
+	// other data centres once this number has answered.
 	maxStartPeers = 12
 	// startQuorumTimeout is how long a starting node that cannot reach the platform
 	// requires two peers to have reached a version. Afterwards one peer is
@@ -104,7 +105,7 @@
 
 // Stats counts calls since the process started.
 type Stats struct {
-	// Pings and Pulls are the requests sent to peers.
+	// Pings and Pulls are the direct pings and the pulls sent to peers.
 	Pings, Pulls uint64
 	// Watches, Reads and Lists are the requests sent to the platform.
 	Watches, Reads, Lists uint64
--- a/node/fleet/traffic_test.go
+++ b/node/fleet/traffic_test.go
@@ -1,10 +1,11 @@
 package fleet
 
 import (
-	"github.com/carobmill/carobmill/node/work"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"github.com/carobmill/carobmill/node/work"
 )
 
 // bytesPerSecond sleeps for d and returns the marshalled bytes that a node sends
@@ -27,7 +28,7 @@
 		c := newCluster(t)
 		nodes, _, _ := startWithColdReplica(t, c)
 		time.Sleep(time.Minute)
-		quiet := c.bytesPerSecond(8, time.Minute)
+		baseline := c.bytesPerSecond(8, time.Minute)
 		c.publish(testConfiguration(2))
 		changed := c.bytesPerSecond(8, 94*time.Second)
 		ctx := t.Context()
@@ -43,8 +44,8 @@
 		claiming := c.bytesPerSecond(8, time.Minute)
 		<-queryingDone
 		t.Logf("without changes %.0f B/s, with a change every 94 s %.0f B/s, with one cold replica in each data centre %.0f B/s",
-			quiet, changed, claiming)
-		if quiet > 4096 || changed > 4096 || claiming > 4096 {
+			baseline, changed, claiming)
+		if baseline > 4096 || changed > 4096 || claiming > 4096 {
 			t.Fatal("more than 4 KB per second")
 		}
 	})
--- a/node/fleet/view.go
+++ b/node/fleet/view.go
@@ -180,8 +180,9 @@
 }
 
 // Owners returns the nodes to send a replica's subrequests to, highest-ranked
-// first: the highest-ranked members of its data centre in this node's group, at
-// most Tuning.owners. The result is shared and must not be modified.
+// first, at most Tuning.owners. They are the highest-ranked usable members of one
+// group of the replica's data centre: the group with the index of this node's group,
+// modulo the number of groups. The result is shared and must not be modified.
 //
 // A suspected owner keeps its rank, so that a short suspicion does not move
 // ownership. It is omitted while another owner is alive, so that queries do not
