--- a/node/platform/client.go
+++ b/node/platform/client.go
@@ -40,7 +40,8 @@
 type Client struct {
 	base string
 	http *http.Client
-	// Every limiter must allow a call; the last one is shared by the whole node.
+	// Every limiter must allow a call. The first is this client's own; the last is
+	// shared by all clients that WithBudgetShare derived from one client.
 	limiters []*rate.Limiter
 	calls    *atomic.Uint64
 }
@@ -78,7 +79,8 @@
 	return &shared
 }
 
-// allow consumes one token of each limiter, up to the first that has none.
+// allow consumes one token of each limiter, up to the first that has none. It reports
+// whether every limiter had a token.
 func (c *Client) allow() bool {
 	for _, limiter := range c.limiters {
 		if !limiter.Allow() {
@@ -88,8 +90,9 @@
 	return true
 }
 
-// Calls returns the number of calls made so far, including those of all clients
-// that share the budget. A watch call counts once, however long it waits.
+// Calls returns the number of HTTP calls made so far, including those of all clients
+// that share the budget. Each HTTP call of a Watch counts once, however long the service
+// holds it.
 func (c *Client) Calls() uint64 { return c.calls.Load() }
 
 // Get implements KV.
@@ -264,8 +267,8 @@
 	return r, statusError(k, r)
 }
 
-// noResponseKind returns the kind of a call whose response was not received. The service
-// may have applied a write, unless no connection was established.
+// noResponseKind returns the kind of error for a call whose response was not received.
+// The service may have applied a write, unless no connection was established.
 func noResponseKind(k call, err error) error {
 	var op *net.OpError
 	if !k.writes || errors.As(err, &op) && op.Op == "dial" {
--- a/node/platform/fuzz_test.go
+++ b/node/platform/fuzz_test.go
@@ -61,7 +61,7 @@
 	checkResult(t, "keep alive", client.KeepAlive(ctx, 1), false, platform.ErrAmbiguous)
 	_, err = client.VMs(ctx)
 	checkResult(t, "list", err, false, platform.ErrUnavailable)
-	// Watch is last, because it may run until the context ends.
+	// Watch is called last, because it may run until the context ends.
 	e, err = client.Watch(ctx, "k", 1)
 	checkResult(t, "watch", err, e.Revision == 0, platform.ErrUnavailable)
 	if errors.Is(err, platform.ErrBudget) {
