--- a/node/schema/decode.go
+++ b/node/schema/decode.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-
 	"io"
 	"os"
 	"regexp"
@@ -17,8 +16,7 @@
 	"github.com/carobmill/carobmill/policy/rule"
 )
 
-// MaxFileBytes is the maximum size of a file. A sheet of 3,500 replicas needs less
-// than a tenth of it.
+// MaxFileBytes is the maximum size of a file.
 const MaxFileBytes = 8 << 20
 
 const (
--- a/node/schema/scalar.go
+++ b/node/schema/scalar.go
@@ -73,6 +73,7 @@
 	return protoreflect.ValueOfFloat64(v), d.inRange(path, n, fd, v)
 }
 
+// inRange adds a fault and returns false unless v is in the range of the field.
 func (d *decoder) inRange(path string, n *yaml.Node, fd protoreflect.FieldDescriptor, v float64) bool {
 	r := rule.Of(fd)
 	if rule.InRange(r, v) {
