--- a/node/settings/check.go
+++ b/node/settings/check.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// address parses an address. rule.Check reports an empty one that is required.
+// address parses an address and adds a fault if it is malformed. An empty address is
+// no fault here, because rule.Check reports it if it is required.
 func (c *validator) address(path, address string) (netip.AddrPort, bool) {
 	if address == "" {
 		return netip.AddrPort{}, false
@@ -94,7 +95,7 @@
 }
 
 // tls requires all three files or no tls section. A node that ignored an incomplete
-// section would talk to its peers without encryption and accept any peer.
+// section would connect to its peers without encryption and accept any peer.
 func (c *validator) tls() {
 	t := c.settings.GetTls()
 	files := []struct{ path, name string }{
--- a/node/settings/settings.go
+++ b/node/settings/settings.go
@@ -33,7 +33,8 @@
 
 	DefaultExtraWindowS = 10
 	DefaultGraceS       = 30
-	// DefaultCapacity is in cores. Nodes of equal capacity do not relay to each other.
+	// DefaultCapacity is in cores. A node relays requests only to nodes of at least
+	// twice its capacity, so nodes of equal capacity do not relay to each other.
 	DefaultCapacity    = 1
 	DefaultNewsBoundMs = 5000
 )
@@ -48,7 +49,7 @@
 	return Parse(file, data)
 }
 
-// Parse is Load for the contents of a file; faults name it as file.
+// Parse is Load for the contents of a file. file is the name to report in faults.
 func Parse(file string, data []byte) (*pb.Settings, []schema.Fault) {
 	raw := &pb.Settings{}
 	faults := schema.Decode(file, data, raw)
--- a/node/sheetfile/sheetfile.go
+++ b/node/sheetfile/sheetfile.go
@@ -17,7 +17,7 @@
 	return Parse(file, data)
 }
 
-// Parse is Load for the contents of a file; faults name it as file.
+// Parse is Load for the contents of a file. file is the name to report in faults.
 func Parse(file string, data []byte) (*pb.Sheet, []schema.Fault) {
 	raw := &pb.Sheet{}
 	faults := schema.Decode(file, data, raw)
