--- a/node/telemetry/class.go
+++ b/node/telemetry/class.go
@@ -22,8 +22,8 @@
 const (
 	windowCount  = 6
 	windowLength = 10 * time.Second
-	// maxRecordedLatency is the largest latency that the p99 histogram records; longer ones
-	// count as this.
+	// maxRecordedLatency is the largest latency that the p99 histogram records. A longer
+	// latency is recorded as this value.
 	maxRecordedLatency = time.Minute
 	significantDigits  = 2
 	// weightUnit scales weights to integers, because counters are integers.
--- a/node/telemetry/queued.go
+++ b/node/telemetry/queued.go
@@ -22,7 +22,8 @@
 	lines chan []byte
 	done  chan struct{}
 
-	// mu guards the fields below.
+	// mu guards the fields below. Write holds mu while it sends to lines, and Close
+	// while it closes lines: a send on the closed channel would panic.
 	mu      sync.Mutex
 	closed  bool
 	dropped uint64
