--- a/standin/backend/switches.go
+++ b/standin/backend/switches.go
@@ -74,8 +74,8 @@
 	s.generations = append(append([]Generation(nil), s.generations...), g)
 }
 
-// Restart resets every connection and starts a new incarnation. The new incarnation
-// is in an announced cold start if Options.Cold sets a limit.
+// Restart resets every connection, ends a drain and starts a new incarnation. The new
+// incarnation is in an announced cold start if Options.Cold sets a limit.
 func (s *Server) Restart() {
 	s.mu.Lock()
 	s.incarnation++
--- a/standin/memnet/conn.go
+++ b/standin/memnet/conn.go
@@ -107,7 +107,7 @@
 	// readerClosed is set when the reader closes its end.
 	readerClosed bool
 	deadline     time.Time
-	// changed is closed and replaced whenever a field above changes.
+	// changed is closed and replaced whenever a waiting reader must poll again.
 	changed chan struct{}
 }
 
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -40,8 +40,8 @@
 	Leaving     bool   `json:"leaving"`
 }
 
-// Calls counts the calls received since the server was created, including those that
-// met an injected fault.
+// Calls counts the calls received since the server was created, including calls that
+// an injected fault affected.
 type Calls struct {
 	Reads   uint64
 	Writes  uint64
