--- a/node/sheetfile/faulty_test.go
+++ b/node/sheetfile/faulty_test.go
@@ -123,8 +123,8 @@
 		"s.yaml: services[0].generations[0].shards[0].replicas: is missing or empty, at least one entry is required")
 }
 
-// A sheet truncated at any byte must be rejected: it is often valid YAML, and would
-// silently take replicas out of service.
+// A truncated sheet must be rejected: it is often valid YAML, and would silently take
+// replicas out of service. The test truncates at every 29th byte.
 func TestTruncatedFileIsRejectedAtEveryLength(t *testing.T) {
 	c := qt.New(t)
 	text := exampleSheet(c)
