--- a/node/fleet/membership_test.go
+++ b/node/fleet/membership_test.go
@@ -24,7 +24,7 @@
 		t.Logf("alive again after %v", c.waitFor(10*time.Second, "all nodes see 8 alive members again", allSeeAlive(nodes, 8)))
 		for _, m := range nodes[0].Members() {
 			if m.State != pb.MemberState_MEMBER_STATE_ALIVE {
-				t.Fatalf("%+v", m)
+				t.Fatalf("member is not alive after the resume: %+v", m)
 			}
 		}
 	})
@@ -117,7 +117,7 @@
 		t.Fatal(err)
 	}
 	if self := f.Self(); self.Boot == 1 || self.State != pb.MemberState_MEMBER_STATE_ALIVE {
-		t.Fatalf("%+v", self)
+		t.Fatalf("unexpected own entry after being marked gone: %+v", self)
 	}
 }
 
--- a/node/fleet/view.go
+++ b/node/fleet/view.go
@@ -38,7 +38,8 @@
 	// changes in one data centre would clear the caches of all.
 	ownersCache map[string]*sync.Map
 	// lastAllowed holds, by replica name, when MayUseCold last granted permission,
-	// as time.Time.
+	// as time.Time. Each view starts without entries, so that a change of the members
+	// or the configuration ends cached permissions.
 	lastAllowed sync.Map
 	// rankingCache caches the results of rankedMembers by replica name, as
 	// []Member.
