--- a/cmd/load/load_test.go
+++ b/cmd/load/load_test.go
@@ -60,9 +60,9 @@
 	c.Assert(math.Abs(first/float64(n)-0.75) < 0.01, qt.IsTrue)
 }
 
+// Guards against latencies that omit the wait during a stall of the server, and against
+// totals without the requests above the in-flight limit.
 func TestLatencyIncludesWaitFromIntendedSendTime(t *testing.T) {
-	// The server stalls for 300 ms. Guards against latencies that omit the wait, and
-	// against requests above the in-flight limit missing from the totals.
 	c := qt.New(t)
 	const stall = 300 * time.Millisecond
 	start := time.Now()
@@ -135,11 +135,11 @@
 	_, err := ParseMix("timing")
 	c.Assert(err, qt.ErrorMatches, `flag -mix: "timing" is not SERVICE/CLASS\[=SHARE\]`)
 	_, err = ParseMix("timing/checkpoint=NaN")
-	c.Assert(err, qt.ErrorMatches, `flag -mix: share "NaN" of timing/checkpoint is not a number above 0`)
+	c.Assert(err, qt.ErrorMatches, `flag -mix: share "NaN" of timing/checkpoint is not a number above 0 and at most 1e6`)
 	config := testConfig()
 	config.Rate = MaxRate + 1
 	c.Assert(config.Check(), qt.ErrorMatches, "flag -rate is out of range, .*")
 	config = testConfig()
 	config.Addresses = []string{"localhost:80"}
-	c.Assert(config.Check(), qt.ErrorMatches, `flag -addr: "localhost:80" is not an IP number and a port`)
+	c.Assert(config.Check(), qt.ErrorMatches, `flag -addr: "localhost:80" is not an IP address and port`)
 }
