--- a/node/deployment/backends.go
+++ b/node/deployment/backends.go
@@ -11,27 +11,26 @@
 )
 
 const (
-	// firstSnapshot is what the backend servers hold at start.
+	// firstSnapshot is the only snapshot that the backend servers hold at start.
 	firstSnapshot = 1
-	// A backend server's work takes serviceTimeBase and up to serviceTimeSpread
-	// more.
+	// Service times lie between serviceTimeBase and serviceTimeBase+serviceTimeSpread.
 	serviceTimeBase   = 2 * time.Millisecond
 	serviceTimeSpread = 6 * time.Millisecond
-	// coldRequests is how many requests warm a backend server up.
-	coldRequests = 20
-	seed         = 1
+	// coldRequests is the number of requests that warm up a backend server.
+	coldRequests    = 20
+	serviceTimeSeed = 1
 )
 
-// startBackends starts a backend server for each replica of the sheet and puts
-// its address into the sheet.
+// startBackends starts a backend server for each replica of the sheet and writes its
+// address to the sheet.
 func (d *Deployment) startBackends() error {
 	for _, svc := range d.Sheet.GetServices() {
-		for name, generations := range heldByReplica(svc) {
+		for name, generations := range generationsByReplica(svc) {
 			if err := d.startBackend(svc, name, generations); err != nil {
 				return err
 			}
 		}
-		d.readdress(svc)
+		d.setAddresses(svc)
 	}
 	return nil
 }
@@ -47,7 +46,7 @@
 		Connections: int(svc.GetConnections()),
 		ServiceTime: backend.ServiceTime{Base: serviceTimeBase, Spread: serviceTimeSpread},
 		Cold:        backend.Cold{InFlight: int(svc.GetColdInFlight()), Requests: coldRequests},
-		Rng:         rand.New(rand.NewPCG(seed, uint64(len(d.Backends)))),
+		Rng:         rand.New(rand.NewPCG(serviceTimeSeed, uint64(len(d.Backends)))),
 	}
 	if d.Backend != nil {
 		d.Backend(&options)
@@ -80,9 +79,10 @@
 	return nil
 }
 
-// heldByReplica lists the shards that each replica of a service holds.
-func heldByReplica(svc *pb.Service) map[string][]backend.Generation {
-	held := make(map[string][]backend.Generation)
+// generationsByReplica returns, for each replica of a service, the generations that the
+// replica holds and the replica's shards in them.
+func generationsByReplica(svc *pb.Service) map[string][]backend.Generation {
+	generations := make(map[string][]backend.Generation)
 	for _, g := range svc.GetGenerations() {
 		shards := make(map[string][]string)
 		for _, s := range g.GetShards() {
@@ -91,17 +91,18 @@
 			}
 		}
 		for name, list := range shards {
-			held[name] = append(held[name], backend.Generation{
+			generations[name] = append(generations[name], backend.Generation{
 				ID:            g.GetId(),
 				FirstSnapshot: g.GetFirstSnapshot(),
 				Shards:        list,
 			})
 		}
 	}
-	return held
+	return generations
 }
 
-func (d *Deployment) readdress(svc *pb.Service) {
+// setAddresses writes the addresses of the backend servers to a service's replicas.
+func (d *Deployment) setAddresses(svc *pb.Service) {
 	for _, g := range svc.GetGenerations() {
 		for _, s := range g.GetShards() {
 			for _, r := range s.GetReplicas() {
--- a/node/deployment/check.go
+++ b/node/deployment/check.go
@@ -19,20 +19,21 @@
 )
 
 const (
-	// LeaveGrace is how long after a change, or after its own word, a backend
-	// server may still get new work.
+	// LeaveGrace is the time after a configuration change, or after the start of a
+	// drain, in which a leaving backend server may still receive requests.
 	LeaveGrace = 3 * time.Second
-	// shutdownPause is the time between the requests of one caller in ShutDownUnderLoad.
-	shutdownPause = 5 * time.Millisecond
-	// shutdownMargin is the time that a caller's request may take to the node, and
-	// that callers start apart.
-	shutdownMargin = 3 * time.Millisecond
-	// shutdownPatience bounds a request that is never answered, as one does whose
-	// connection the node had not accepted when it closed its port.
-	shutdownPatience = 5 * time.Second
+	// requestInterval is the time between an answer and the same caller's next request
+	// in ShutDownUnderLoad.
+	requestInterval = 5 * time.Millisecond
+	// startInterval is the time between the starts of two callers, and between the
+	// start of the callers and the shutdown. It exceeds the network delay of a request.
+	startInterval = 3 * time.Millisecond
+	// requestTimeout bounds a request that is never answered. Such a request is on a
+	// connection that the node had not accepted when it closed its listener.
+	requestTimeout = 5 * time.Second
 )
 
-// ReplicasIn returns the names of the sheet's replicas in a data centre.
+// ReplicasIn returns the names of the replicas in a data centre.
 func (d *Deployment) ReplicasIn(dataCentre string) []string {
 	var names []string
 	for name := range d.Backends {
@@ -45,38 +46,39 @@
 	return names
 }
 
-// RequestsDuring returns how many requests each of the named backend servers got during a
-// call, those that it refused included. Backend servers without any are left out, so
-// that an empty result keeps the promise that whatever leaves gets no new work.
+// RequestsDuring returns the number of requests that each of the named backend servers
+// received during a call, refused requests included. Backend servers that received none
+// are omitted, so an empty result means that no request was sent to any of them.
 func (d *Deployment) RequestsDuring(during func(), replicas ...string) map[string]uint64 {
 	before := make(map[string]uint64, len(replicas))
 	for _, name := range replicas {
 		before[name] = d.requests(name)
 	}
 	during()
-	got := make(map[string]uint64)
+	counts := make(map[string]uint64)
 	for _, name := range replicas {
 		if n := d.requests(name) - before[name]; n > 0 {
-			got[name] = n
+			counts[name] = n
 		}
 	}
-	return got
+	return counts
 }
 
-// requests counts what a backend server was asked to do; status polls are no work.
+// requests returns the number of requests that a backend server has received, without
+// status polls.
 func (d *Deployment) requests(replica string) uint64 {
 	c := d.Backends[replica].Counts()
 	return c.Queries + c.Executes + c.Shed + c.Refused + c.NoSnapshot
 }
 
-// ReplayReplicaReport sends every node the same news of a service's replica as if it came from
-// the named node, as a message does that was delayed on its way.
-func (d *Deployment) ReplayReplicaReport(ctx context.Context, sender, service string, news *pb.ReplicaNews) error {
+// ReplayReplicaReport sends the same report about a service's replica to every node, with
+// the named node as the sender. The nodes receive it like a delayed message.
+func (d *Deployment) ReplayReplicaReport(ctx context.Context, sender, service string, update *pb.ReplicaNews) error {
 	for _, n := range d.Nodes {
 		req := &pb.ReportReplicaRequest{
 			Envelope: &pb.Envelope{Fleet: d.Sheet.GetFleet(), Protocol: fleet.Protocol, Sender: sender},
 			Service:  service,
-			News:     []*pb.ReplicaNews{news},
+			News:     []*pb.ReplicaNews{update},
 		}
 		if err := d.report(ctx, n.Settings.GetPeerAddress(), req); err != nil {
 			return errors.Wrapf(err, "report to %s", n.Settings.GetNode())
@@ -101,8 +103,8 @@
 	return err
 }
 
-// FirstOwner names the node that calls itself the first-ranked owner of a replica,
-// and is empty when none does.
+// FirstOwner returns the name of the node that reports itself as the first-ranked owner
+// of a replica, or "" if no node does.
 func (d *Deployment) FirstOwner(ctx context.Context, replica string) string {
 	for _, n := range d.Nodes {
 		for _, o := range n.NodeStatus(ctx, false)[0].GetOwned() {
@@ -114,59 +116,60 @@
 	return ""
 }
 
-// ShutdownResult is what callers of one node saw of its graceful shutdown.
+// ShutdownResult counts the results of the requests to a node that shut down gracefully.
 type ShutdownResult struct {
-	// Complete answers, and requests that came after the balancer's lag and were
-	// refused as not run or found the port closed.
+	// Complete is the number of complete answers. Late is the number of requests that
+	// began after the balancer lag and were refused or could not connect.
 	Complete, Late int
-	// Interrupted says what became of each request that was due a whole answer and did
-	// not get one, and of each partial answer.
+	// Interrupted describes each partial answer, and each request that began within the
+	// balancer lag and was refused or failed.
 	Interrupted []string
 }
 
-// ShutDownUnderLoad stops a node gracefully while callers use it without pause. A balancer
-// goes on sending them for its lag; each request that they begin until then is due
-// a whole answer. Callers end some time after the node has.
+// ShutDownUnderLoad stops a node gracefully while callers send requests to it. The balancer
+// sends callers to the node for lag after the shutdown begins, so each request that begins
+// within the lag must get a complete answer. The callers stop lag after the node.
 func (d *Deployment) ShutDownUnderLoad(ctx context.Context, n *Node, callers int, lag time.Duration, req *caller.QueryRequest) *ShutdownResult {
-	var saw ShutdownResult
+	var result ShutdownResult
 	var mu sync.Mutex
-	var asking sync.WaitGroup
+	var running sync.WaitGroup
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	// What begins by then reaches the node within the lag.
-	due := time.Now().Add(lag)
+	// The shutdown begins startInterval later, so a request that begins before lagEnd
+	// reaches the node within the lag.
+	lagEnd := time.Now().Add(lag)
 	for i := range callers {
-		asking.Go(func() {
-			time.Sleep(time.Duration(i) * shutdownMargin)
+		running.Go(func() {
+			time.Sleep(time.Duration(i) * startInterval)
 			for ctx.Err() == nil {
 				began := time.Now()
-				patient, end := context.WithTimeout(context.WithoutCancel(ctx), shutdownPatience)
-				answer, _, err := d.Query(patient, n.Settings.GetCallerAddress(), req)
-				end()
+				requestCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), requestTimeout)
+				answer, _, err := d.Query(requestCtx, n.Settings.GetCallerAddress(), req)
+				cancel()
 				mu.Lock()
-				saw.note(began.Before(due), answer, err)
+				result.record(began.Before(lagEnd), answer, err)
 				mu.Unlock()
-				time.Sleep(shutdownPause)
+				time.Sleep(requestInterval)
 			}
 		})
 	}
-	time.Sleep(shutdownMargin)
+	time.Sleep(startInterval)
 	n.Stop()
 	time.Sleep(lag)
 	stop()
-	asking.Wait()
-	return &saw
+	running.Wait()
+	return &result
 }
 
-func (s *ShutdownResult) note(due bool, answer *caller.Answer, err error) {
+func (s *ShutdownResult) record(withinLag bool, answer *caller.Answer, err error) {
 	switch {
 	case err == nil && answer.Outcome == query.Complete:
 		s.Complete++
 	case err == nil && answer.Outcome == query.Partial:
 		s.Interrupted = append(s.Interrupted, fmt.Sprintf("partial, absent %v", answer.Absent))
-	case due && err != nil:
+	case withinLag && err != nil:
 		s.Interrupted = append(s.Interrupted, err.Error())
-	case due:
+	case withinLag:
 		s.Interrupted = append(s.Interrupted, fmt.Sprintf("%s: %s", answer.Outcome, answer.Reason))
 	default:
 		s.Late++
--- a/node/deployment/deployment.go
+++ b/node/deployment/deployment.go
@@ -24,37 +24,37 @@
 
 const (
 	loopback = "127.0.0.1:0"
-	// publishCalls bounds the deployment's own calls to the platform a second.
-	publishCalls  = 100
-	publisher     = "deployment"
-	readyTimeout  = 60 * time.Second
-	conditionPoll = 10 * time.Millisecond
+	// publishCallsPerSecond limits the calls that Publish makes to the platform.
+	publishCallsPerSecond = 100
+	publisher             = "deployment"
+	readyTimeout          = 60 * time.Second
+	conditionPollInterval = 10 * time.Millisecond
 )
 
-// Options of a deployment.
+// Options configures a deployment.
 type Options struct {
-	// Sheet to put into force. The addresses of its replicas are replaced.
+	// Sheet is the sheet to publish. The addresses of its replicas are overwritten.
 	Sheet *pb.Sheet
-	// NodesPerDataCentre defaults to 2.
+	// NodesPerDataCentre is the number of nodes in each data centre. The default is 2.
 	NodesPerDataCentre int
-	// KeepAddresses lets the backend servers listen at the sheet's own addresses,
-	// and PlatformAddress is where the platform listens; for nodes that run as
-	// processes of their own.
+	// KeepAddresses makes the backend servers listen at the addresses in the sheet.
+	// PlatformAddress is the listen address of the platform; the default is a free
+	// port. Both are for nodes that run in separate processes.
 	KeepAddresses   bool
 	PlatformAddress string
-	// Backend may change the stand-in of one replica before it starts.
+	// Backend, if set, changes the options of each backend server before it starts.
 	Backend func(o *backend.Options)
-	// Settings may change the settings of one node before it starts.
+	// Settings, if set, changes the settings of each node before it starts.
 	Settings func(s *pb.Settings)
-	// Wrappers puts something between the parts of each node.
+	// Wrappers are applied to each node.
 	Wrappers node.Wrappers
 	Log      logrus.FieldLogger
-	// Network replaces TCP on loopback, for tests in virtual time. Its hosts are
-	// the data centres, and PlatformHost and CallerHost.
+	// Network replaces loopback TCP, for tests in virtual time. Its hosts are the data
+	// centres, PlatformHost and CallerHost.
 	Network *memnet.Network
 }
 
-// Hosts of a Network besides the data centres.
+// Hosts of Options.Network besides the data centres.
 const (
 	PlatformHost = "platform"
 	CallerHost   = "callers"
@@ -64,19 +64,19 @@
 type Deployment struct {
 	Options
 	Platform *platform.Server
-	// PlatformURL is where the platform's stand-in listens.
+	// PlatformURL is the base URL of the platform stand-in.
 	PlatformURL string
-	// Backends are the backend servers by replica.
+	// Backends holds the backend servers by replica name.
 	Backends map[string]*backend.Server
 	Nodes    []*Node
 
 	client *nodeplatform.Client
-	// transport is that of callers and of the operator.
+	// transport is used by callers and by Publish.
 	transport *http.Transport
 	version   uint64
 }
 
-// listen opens a port of a host.
+// listen opens a listener on a host of the network, or on TCP without a network.
 func (d *Deployment) listen(host, address string) (net.Listener, error) {
 	if d.Network != nil {
 		return d.Network.Listen(host, address)
@@ -84,7 +84,7 @@
 	return net.Listen("tcp", address)
 }
 
-// dialer returns the function by which a host opens connections; nil is TCP.
+// dialer returns the dial function of a host, or nil for TCP.
 func (d *Deployment) dialer(host string) peer.Dialer {
 	if d.Network == nil {
 		return nil
@@ -92,7 +92,7 @@
 	return d.Network.Dialer(host)
 }
 
-// Start brings a deployment up and waits until every node is ready.
+// Start starts a deployment and waits until it is ready, see WaitReady.
 func Start(ctx context.Context, o Options) (*Deployment, error) {
 	if o.NodesPerDataCentre == 0 {
 		o.NodesPerDataCentre = defaultNodes
@@ -105,7 +105,7 @@
 	return d, nil
 }
 
-// StartStandins starts the platform and the backend servers alone.
+// StartStandins starts only the platform and the backend servers.
 func StartStandins(o Options) (*Deployment, error) {
 	d := &Deployment{Options: o, Backends: make(map[string]*backend.Server)}
 	if err := d.startStandins(); err != nil {
@@ -130,7 +130,7 @@
 	if d.Network != nil {
 		d.transport.DialContext = d.Network.Dialer(CallerHost)
 	}
-	d.client = nodeplatform.New(d.PlatformURL, publishCalls, d.transport)
+	d.client = nodeplatform.New(d.PlatformURL, publishCallsPerSecond, d.transport)
 	return d.startBackends()
 }
 
@@ -152,7 +152,7 @@
 	return d.WaitReady(ctx)
 }
 
-// Publish puts a sheet into force as the next version.
+// Publish publishes a sheet as the next configuration version.
 func (d *Deployment) Publish(ctx context.Context, s *pb.Sheet) error {
 	configuration, err := sheet.Compile(s, d.version+1, uuid.NewString(), publisher)
 	if err != nil {
@@ -160,30 +160,30 @@
 	}
 	value, err := proto.Marshal(configuration)
 	if err != nil {
-		return errors.Wrap(err, "configuration")
+		return errors.Wrap(err, "encode configuration")
 	}
 	key := configstate.Key(s.GetFleet())
 	var revision uint64
 	if d.version > 0 {
 		entry, err := d.client.Get(ctx, key)
 		if err != nil {
-			return errors.Wrap(err, "publish")
+			return errors.Wrap(err, "read the published configuration")
 		}
 		revision = entry.Revision
 	}
 	if _, err := d.client.CompareAndSwap(ctx, key, revision, value); err != nil {
-		return errors.Wrap(err, "publish")
+		return errors.Wrap(err, "publish configuration")
 	}
 	d.version++
 	return nil
 }
 
-// Version returns the configuration version published last.
+// Version returns the last published configuration version.
 func (d *Deployment) Version() uint64 { return d.version }
 
-// WaitReady waits until every started node is ready and every replica in service
-// has an owner that may use it: a fresh fleet takes some seconds to agree on who
-// that is.
+// WaitReady waits until every running node is ready and every replica in service has an
+// owner with a concurrency limit above zero. The nodes of a new fleet need a few seconds to
+// agree on the owners.
 func (d *Deployment) WaitReady(ctx context.Context) error {
 	if err := Wait(ctx, readyTimeout, d.unready); err != nil {
 		return err
@@ -191,7 +191,8 @@
 	return Wait(ctx, readyTimeout, func() string { return d.unowned(ctx) })
 }
 
-// unowned names a replica that no owner may use yet; empty when there is none.
+// unowned names a replica in service for which no owner has a concurrency limit above zero.
+// The result is empty if there is none.
 func (d *Deployment) unowned(ctx context.Context) string {
 	usable := make(map[string]bool)
 	for _, n := range d.Nodes {
@@ -206,13 +207,14 @@
 	}
 	for name := range d.Backends {
 		if !usable[name] && d.inService(name) {
-			return "no owner may use " + name + " yet"
+			return "no owner of replica " + name + " has a concurrency limit above zero"
 		}
 	}
 	return ""
 }
 
-// inService reports whether the nodes' configuration has a replica in service.
+// inService reports whether a replica is in service in the configuration of the first
+// running node that has one.
 func (d *Deployment) inService(replica string) bool {
 	for _, n := range d.Nodes {
 		if index := n.Index(); n.Running() && index != nil {
@@ -223,7 +225,8 @@
 	return false
 }
 
-// unready names a node that is not ready and why; empty when all are.
+// unready returns the name of a running node that is not ready, with the reason. The result
+// is empty if all running nodes are ready.
 func (d *Deployment) unready() string {
 	for _, n := range d.Nodes {
 		if !n.Running() {
@@ -236,27 +239,27 @@
 	return ""
 }
 
-// Wait polls until missing returns the empty string; otherwise the error holds
-// what it returned last.
-func Wait(ctx context.Context, limit time.Duration, missing func() string) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// Wait polls pending until it returns an empty string. After the timeout, Wait returns an
+// error with the last result of pending.
+func Wait(ctx context.Context, timeout time.Duration, pending func() string) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	ticker := time.NewTicker(conditionPoll)
+	ticker := time.NewTicker(conditionPollInterval)
 	defer ticker.Stop()
 	for {
-		reason := missing()
+		reason := pending()
 		if reason == "" {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Errorf("not in %s: %s", limit, reason)
+			return errors.Errorf("condition not met within %s: %s", timeout, reason)
 		case <-ticker.C:
 		}
 	}
 }
 
-// Close shuts the nodes down gracefully, all at once, and ends the stand-ins.
+// Close shuts down all nodes gracefully at the same time and then closes the stand-ins.
 func (d *Deployment) Close() {
 	for _, n := range d.Nodes {
 		n.cancel()
--- a/node/deployment/doc.go
+++ b/node/deployment/doc.go
@@ -1,4 +1,4 @@
-// Package deployment runs a whole deployment in one process on loopback, over
-// the stand-ins for platform and backend servers: for the demo and for tests of
-// several nodes. It is no simulator: nodes, connections and clocks are real.
+// Package deployment runs a complete deployment in one process, for the demo and
+// for multi-node tests. The platform and the backend servers are stand-ins. The
+// nodes are the production code, and connect over loopback TCP by default.
 package deployment
--- a/node/deployment/nodes.go
+++ b/node/deployment/nodes.go
@@ -18,33 +18,32 @@
 )
 
 const (
-	// defaultNodes is the number of nodes in each data centre today.
+	// defaultNodes is the default number of nodes in each data centre.
 	defaultNodes = 2
-	// Shutdown times are short because no balancer stands in front.
+	// The shutdown times are short because the deployment has no balancer.
 	balancerLagMs  = 200
 	drainTimeoutMs = 5000
-	// Ports of nodes lie below the range of outgoing connections.
-	firstPort = 20000
-	portCount = 12000
-	portTries = 100
+	// The ports of nodes lie below the ephemeral port range.
+	firstPort    = 20000
+	portCount    = 12000
+	portAttempts = 100
 )
 
-// Node is one node of a deployment, which can be stopped, killed and started
-// again.
+// Node is a node of a deployment. It can be stopped, killed and restarted.
 type Node struct {
 	*node.Node
 	Settings *pb.Settings
 
 	deployment *Deployment
-	// ports are open from planning to the first start, so that nothing else
-	// takes them meanwhile.
+	// ports are the listeners that planNode opened for the first start. They stay open
+	// until then, so that no other process binds the ports.
 	ports   *node.Listeners
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 	started atomic.Bool
 }
 
-// planNodes writes the settings of all nodes and the platform's VM list.
+// planNodes creates the nodes with their settings and sets the platform's VM list.
 func (d *Deployment) planNodes() error {
 	var vms []platform.VM
 	for _, dc := range d.Sheet.GetDataCentres() {
@@ -92,25 +91,25 @@
 
 func (d *Deployment) openPorts(dc string) (*node.Listeners, error) {
 	l := &node.Listeners{}
-	for _, into := range []*net.Listener{&l.Peer, &l.Admin, &l.Caller} {
+	for _, listener := range []*net.Listener{&l.Peer, &l.Admin, &l.Caller} {
 		open, err := d.openPort(dc)
 		if err != nil {
 			l.Close()
 			return nil, err
 		}
-		*into = open
+		*listener = open
 	}
 	return l, nil
 }
 
-// openPort opens a port below the range that the kernel gives to outgoing
-// connections, so that a node that starts again finds its ports free.
+// openPort opens a listener on a port below the ephemeral range. Otherwise an outgoing
+// connection could use the port while the node restarts.
 func (d *Deployment) openPort(dc string) (net.Listener, error) {
 	if d.Network != nil {
 		return d.Network.Listen(dc, loopback)
 	}
 	var lastErr error
-	for range portTries {
+	for range portAttempts {
 		port := firstPort + rand.IntN(portCount)
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err == nil {
@@ -118,10 +117,10 @@
 		}
 		lastErr = err
 	}
-	return nil, errors.Wrap(lastErr, "free port")
+	return nil, errors.Wrap(lastErr, "find a free port")
 }
 
-// Start starts the node, or starts it anew with a new boot.
+// Start starts the node. A restarted node has a new boot ID.
 func (n *Node) Start(ctx context.Context) error {
 	d := n.deployment
 	dc := n.Settings.GetDataCentre()
@@ -142,16 +141,16 @@
 	n.running.Go(func() {
 		defer n.started.Store(false)
 		if err := started.Serve(ctx, ports); err != nil {
-			d.Log.WithError(err).Warn("node has ended")
+			d.Log.WithError(err).Warn("node stopped with an error")
 		}
 	})
 	return nil
 }
 
-// listen opens the ports that the node had before.
+// listen opens the ports in the node's settings again.
 func (n *Node) listen(dc string) (*node.Listeners, error) {
 	l := &node.Listeners{}
-	for address, into := range map[string]*net.Listener{
+	for address, listener := range map[string]*net.Listener{
 		n.Settings.GetPeerAddress():   &l.Peer,
 		n.Settings.GetAdminAddress():  &l.Admin,
 		n.Settings.GetCallerAddress(): &l.Caller,
@@ -159,23 +158,23 @@
 		open, err := n.deployment.listen(dc, address)
 		if err != nil {
 			l.Close()
-			return nil, errors.Wrap(err, "port of a restarted node")
+			return nil, errors.Wrap(err, "listen for a restarted node")
 		}
-		*into = open
+		*listener = open
 	}
 	return l, nil
 }
 
-// Running reports whether the node runs, a graceful shutdown included.
+// Running reports whether the node is running. A node in graceful shutdown is running.
 func (n *Node) Running() bool { return n.started.Load() }
 
-// Stop shuts the node down gracefully.
+// Stop shuts down the node gracefully and waits until it has stopped.
 func (n *Node) Stop() {
 	n.cancel()
 	n.running.Wait()
 }
 
-// Kill ends the node at once, with everything in flight.
+// Kill stops the node immediately. Requests in flight are cut off.
 func (n *Node) Kill() {
 	n.Abort()
 	n.running.Wait()
