--- a/node/doc.go
+++ b/node/doc.go
@@ -1,3 +1,3 @@
-// Package node is the parent of the packages that make up a running node:
-// adapters, worker pool and shared tables around the decisions of module policy.
+// Package node contains the packages of a running node: network adapters, the worker pool
+// and shared tables. Module policy contains the decision logic that they use.
 package node
--- a/node/node/doc.go
+++ b/node/node/doc.go
@@ -1,3 +1,3 @@
-// Package node assembles one carobmill node from its parts and runs it: it
-// starts the listeners, and ends them in the order of a graceful shutdown.
+// Package node assembles a carobmill node from its components and runs it. It starts the
+// servers and stops them in the order that a graceful shutdown needs.
 package node
--- a/node/node/node.go
+++ b/node/node/node.go
@@ -29,12 +29,12 @@
 	"github.com/carobmill/carobmill/node/work"
 )
 
-// claimShare is the part of the calls to the platform that claims of idempotency
-// keys may take up. The rest is for the configuration and the VM list, which must
-// get through when callers send more keyed requests than the platform bears.
+// claimShare is the fraction of the platform call budget that claims of idempotency keys
+// may use. The remainder is reserved for the configuration and the VM list. Without it,
+// many keyed requests would block configuration and VM list updates.
 const claimShare = 0.75
 
-// Node is one carobmill process.
+// Node is a carobmill node. Each process runs one.
 type Node struct {
 	settings *pb.Settings
 	log      logrus.FieldLogger
@@ -42,42 +42,43 @@
 
 	ring     *ring.Ring
 	platform *platform.Client
-	// idle closes the idle connections to the platform.
-	idle     func()
-	fleet    *fleet.Fleet
-	peers    *peer.Client
-	pool     *peer.Pool
-	workers  *work.Pool
-	backends *backend.Client
-	owner    *owner.Owner
-	entry    *entry.Entry
-	executor *execute.Executor
-	metrics  *telemetry.Metrics
-	callers  *caller.Handler
+	// closeIdle closes the idle connections to the platform.
+	closeIdle func()
+	fleet     *fleet.Fleet
+	peers     *peer.Client
+	pool      *peer.Pool
+	workers   *work.Pool
+	backends  *backend.Client
+	owner     *owner.Owner
+	entry     *entry.Entry
+	executor  *execute.Executor
+	metrics   *telemetry.Metrics
+	callers   *caller.Handler
 
 	callerServer *http.Server
 	adminServer  *http.Server
 	peerServer   *grpc.Server
 
-	wrap Wrappers
+	wrappers Wrappers
 
-	// stopping is set when a graceful shutdown has begun.
+	// stopping is set when a graceful shutdown begins.
 	stopping atomic.Bool
 }
 
-// lazyEnvelopes lets the peer client exist before the fleet that it serves.
+// lazyEnvelopes is set to the fleet after the peer client is created. The peer client and
+// the fleet need each other.
 type lazyEnvelopes struct {
 	*fleet.Fleet
 }
 
-// New builds a node from checked settings. It opens nothing yet. A nil dialer
-// opens TCP connections.
+// New creates a node from validated settings. It opens no ports or connections. A nil
+// dialer means TCP.
 func New(settings *pb.Settings, log logrus.FieldLogger, dialer peer.Dialer) (*Node, error) {
 	return NewWithWrappers(settings, log, dialer, Wrappers{})
 }
 
-// NewWithWrappers is New with something put between the node's parts.
-func NewWithWrappers(settings *pb.Settings, log logrus.FieldLogger, dialer peer.Dialer, wrap Wrappers) (*Node, error) {
+// NewWithWrappers is New with wrappers around components of the node.
+func NewWithWrappers(settings *pb.Settings, log logrus.FieldLogger, dialer peer.Dialer, wrappers Wrappers) (*Node, error) {
 	creds, err := peer.Credentials(settings.GetTls())
 	if err != nil {
 		return nil, err
@@ -86,16 +87,16 @@
 	transport := platformTransport(dialer)
 	metrics, metricsHandler := telemetry.New()
 	n := &Node{
-		settings: settings,
-		log:      log.WithField("node", settings.GetNode()),
-		boot:     rand.Uint64(),
-		ring:     ring.New(int(limits.GetRingSize()), metrics.Decision),
-		platform: platform.New(settings.GetPlatformUrl(), float64(limits.GetPlatformCallsPerSecond()), transport),
-		idle:     transport.CloseIdleConnections,
-		metrics:  metrics,
-		pool:     peer.NewPool(creds.Client, dialer),
-		workers:  work.NewPool(int(limits.GetWorkers())),
-		wrap:     wrap,
+		settings:  settings,
+		log:       log.WithField("node", settings.GetNode()),
+		boot:      rand.Uint64(),
+		ring:      ring.New(int(limits.GetRingSize()), metrics.Decision),
+		platform:  platform.New(settings.GetPlatformUrl(), float64(limits.GetPlatformCallsPerSecond()), transport),
+		closeIdle: transport.CloseIdleConnections,
+		metrics:   metrics,
+		pool:      peer.NewPool(creds.Client, dialer),
+		workers:   work.NewPool(int(limits.GetWorkers())),
+		wrappers:  wrappers,
 	}
 	n.backends = backend.New(backend.Options{
 		Dial:           dialer,
@@ -120,8 +121,8 @@
 	return n, nil
 }
 
-// platformTransport returns a transport of the node's own, so that its idle
-// connections end with it.
+// platformTransport returns a transport that no other node of the process shares, so that
+// a node can close its idle connections when it stops.
 func platformTransport(dialer peer.Dialer) *http.Transport {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	if dialer != nil {
@@ -130,13 +131,13 @@
 	return transport
 }
 
-// assemble builds the parts that stand on the fleet.
+// assemble creates the components that depend on the fleet.
 func (n *Node) assemble(serverCreds credentials.TransportCredentials, metricsHandler http.Handler) {
 	limits := n.settings.GetLimits()
-	inForce := n.wrap.fleet(n.fleet)
+	fleetView := n.wrappers.wrapFleet(n.fleet)
 	n.owner = owner.New(owner.Options{
-		Fleet:        inForce,
-		Backend:      n.wrap.backend(n.backends),
+		Fleet:        fleetView,
+		Backend:      n.wrappers.wrapBackend(n.backends),
 		Reporter:     n.peers,
 		Pool:         n.workers,
 		Ring:         n.ring,
@@ -144,7 +145,7 @@
 		Boot:         n.boot,
 	})
 	n.entry = entry.New(entry.Options{
-		Fleet:      inForce,
+		Fleet:      fleetView,
 		Peers:      n.peers,
 		Local:      n.owner,
 		Ring:       n.ring,
@@ -187,14 +188,15 @@
 	n.peerServer = peer.NewServer(n.fleet, n.owner, n, serverCreds)
 }
 
-// event records a decision of one of the parts, which log what matters to
-// operators themselves.
+// event records a decision of a component and logs it at debug level. The components log
+// the events that operators need.
 func (n *Node) event(kind, subject, detail string) {
 	n.ring.Add(ring.Kind(kind), subject, detail)
 	n.log.WithFields(logrus.Fields{"kind": kind, "subject": subject}).Debug(detail)
 }
 
-// Ready reports whether the balancer may send callers here, and why not.
+// Ready reports whether the balancer may send callers to this node. If not, it returns the
+// reason.
 func (n *Node) Ready() (bool, string) {
 	if n.stopping.Load() {
 		return false, "shutting down"
@@ -202,8 +204,8 @@
 	return n.fleet.Ready()
 }
 
-// Run opens the node's ports and serves until ctx ends, then shuts down
-// gracefully. An error means that a port could not be opened or failed.
+// Run opens the node's ports and serves until ctx is cancelled, then shuts down gracefully.
+// It returns an error if a port cannot be opened or a server fails.
 func (n *Node) Run(ctx context.Context) error {
 	l, err := Listen(n.settings)
 	if err != nil {
@@ -212,59 +214,59 @@
 	return n.Serve(ctx, l)
 }
 
-// Serve is Run on ports that are open already. It closes them.
+// Serve is Run with open listeners. It closes them.
 func (n *Node) Serve(ctx context.Context, l *Listeners) error {
-	// The parts outlive ctx, because work in flight needs them until the end
-	// of the shutdown.
+	// The components outlive ctx, because requests in flight use them until the shutdown
+	// ends.
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	var parts sync.WaitGroup
-	parts.Go(func() { n.owner.Run(background) })
-	parts.Go(func() { _ = n.fleet.Run(background) })
-	failed := make(chan error, 3)
-	go func() { failed <- n.peerServer.Serve(l.Peer) }()
-	go func() { failed <- n.adminServer.Serve(l.Admin) }()
-	go func() { failed <- n.callerServer.Serve(l.Caller) }()
+	var components sync.WaitGroup
+	components.Go(func() { n.owner.Run(background) })
+	components.Go(func() { _ = n.fleet.Run(background) })
+	serveErr := make(chan error, 3)
+	go func() { serveErr <- n.peerServer.Serve(l.Peer) }()
+	go func() { serveErr <- n.adminServer.Serve(l.Admin) }()
+	go func() { serveErr <- n.callerServer.Serve(l.Caller) }()
 	var err error
 	select {
 	case <-ctx.Done():
 		n.shutdown(background)
-	case err = <-failed:
+	case err = <-serveErr:
 	}
 	stop()
 	n.close()
-	parts.Wait()
+	components.Wait()
 	return err
 }
 
-// Listeners are the open ports of a node.
+// Listeners holds the listeners of a node.
 type Listeners struct {
 	Peer, Admin, Caller net.Listener
 }
 
-// Listen opens the ports that the settings name.
+// Listen opens the ports in the settings.
 func Listen(settings *pb.Settings) (*Listeners, error) {
 	l := &Listeners{}
-	wanted := []struct {
-		addr string
-		into *net.Listener
+	ports := []struct {
+		addr     string
+		listener *net.Listener
 	}{
 		{settings.GetPeerAddress(), &l.Peer},
 		{settings.GetAdminAddress(), &l.Admin},
 		{settings.GetCallerAddress(), &l.Caller},
 	}
-	for _, w := range wanted {
-		open, err := net.Listen("tcp", w.addr)
+	for _, p := range ports {
+		open, err := net.Listen("tcp", p.addr)
 		if err != nil {
 			l.Close()
-			return nil, errors.Wrap(err, "listener")
+			return nil, errors.Wrap(err, "open listener")
 		}
-		*w.into = open
+		*p.listener = open
 	}
 	return l, nil
 }
 
-// Close closes the ports that are open.
+// Close closes the listeners that are set.
 func (l *Listeners) Close() {
 	for _, open := range []net.Listener{l.Peer, l.Admin, l.Caller} {
 		if open != nil {
--- a/node/node/platform.go
+++ b/node/node/platform.go
@@ -10,7 +10,7 @@
 	"github.com/carobmill/carobmill/policy/membership"
 )
 
-// fleetPlatform gives the fleet its view of the platform.
+// fleetPlatform adapts the platform client to the interface of package fleet.
 type fleetPlatform struct {
 	client *platform.Client
 }
--- a/node/node/shutdown.go
+++ b/node/node/shutdown.go
@@ -8,42 +8,42 @@
 	"github.com/carobmill/carobmill/node/work"
 )
 
-// peerGrace lets the news of leaving reach peers, and their last messages end,
-// before the listener for peers closes.
+// peerGrace is the time between the drain and the stop of the peer server. In this time
+// the leave announcement reaches peers, and their last messages finish.
 const peerGrace = 500 * time.Millisecond
 
-// newsGrace is the time in which the news of leaving reaches every member, also of
-// the largest fleet, when it could not be told while the balancer noticed.
-const newsGrace = 1500 * time.Millisecond
+// leaveGossipTime is the time that a leave announcement needs to reach every member of the
+// largest fleet. Only a node that announces its leave after the drain waits for it.
+const leaveGossipTime = 1500 * time.Millisecond
 
-// shutdown ends the node without cutting a request. The balancer goes on sending
-// callers until it notices that the node is unready, so callers are served during
-// that time; only then are new ones refused, and those in flight finish.
+// shutdown stops the node without interrupting requests. The balancer continues to send
+// callers until it detects that the node is unready, so the node serves them during the
+// balancer lag. Then the node refuses new requests, and requests in flight finish.
 func (n *Node) shutdown(ctx context.Context) {
 	n.stopping.Store(true)
 	n.ring.Add(ring.Shutdown, n.settings.GetNode(), "unready")
-	n.log.Info("shutdown: unready, waiting for the balancer")
+	n.log.Info("shutdown: unready, serving until the balancer stops sending callers")
 	drain := milliseconds(n.settings.GetTiming().GetDrainTimeoutMs())
-	untimed := ctx
+	background := ctx
 	ctx, cancel := context.WithTimeout(ctx, milliseconds(n.settings.GetTiming().GetBalancerLagMs())+drain)
 	defer cancel()
 	last := n.fleet.IsLastInDataCentre()
 	if !last {
-		// Peers stop sending new subrequests here while the balancer notices.
+		// Peers stop sending new subrequests to this node during the balancer lag.
 		n.fleet.Leave(ctx)
 	}
 	work.Sleep(ctx, milliseconds(n.settings.GetTiming().GetBalancerLagMs()))
 	n.callers.Refuse()
 	if err := n.callerServer.Shutdown(ctx); err != nil {
-		n.log.WithError(err).Warn("shutdown: callers were still waiting")
+		n.log.WithError(err).Warn("shutdown: callers' requests did not finish before the deadline")
 	}
-	// Claims are settled after their callers have been answered; one that stays
-	// pending makes a caller's own retry "unknown".
+	// Claims get their final state after their callers are answered. While a claim is pending,
+	// a retry of the caller gets "unknown".
 	if err := n.executor.Close(ctx); err != nil {
-		n.log.WithError(err).Warn("shutdown: claims stay pending")
+		n.log.WithError(err).Warn("shutdown: claims of idempotency keys stay pending")
 	}
 	if last {
-		n.leaveLast(untimed)
+		n.leaveAfterDrain(background)
 	}
 	work.Sleep(ctx, peerGrace)
 	n.stopPeers(ctx)
@@ -51,17 +51,17 @@
 	n.log.Info("shutdown: done")
 }
 
-// leaveLast announces the leave of the only node of a data centre once its callers have their
-// answers. Whoever announces its leave owns no replica from then on, and nobody else there
-// could take over for the queries in flight. The context is not that of the shutdown: a
-// drain that used up its time must not keep the news from peers.
-func (n *Node) leaveLast(ctx context.Context) {
-	n.ring.Add(ring.Shutdown, n.settings.GetNode(), "leaves last of its data centre")
+// leaveAfterDrain announces the leave of the last alive node of a data centre after its
+// callers are answered. A node that announces its leave owns no replicas from then on, and
+// no other node in the data centre could take them over for the queries in flight. ctx has
+// no shutdown deadline, so peers receive the announcement even if the drain timed out.
+func (n *Node) leaveAfterDrain(ctx context.Context) {
+	n.ring.Add(ring.Shutdown, n.settings.GetNode(), "last node of its data centre announces its leave")
 	n.fleet.Leave(ctx)
-	work.Sleep(ctx, newsGrace)
+	work.Sleep(ctx, leaveGossipTime)
 }
 
-// stopPeers lets subrequests of other nodes finish, within ctx.
+// stopPeers stops the peer server. It waits for subrequests of other nodes until ctx ends.
 func (n *Node) stopPeers(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
@@ -74,20 +74,20 @@
 	}
 }
 
-// Abort ends the node at once, cutting what is in flight, as the loss of its VM
-// does. For tests.
+// Abort stops the servers immediately and cuts off requests in flight. Tests use it to
+// simulate the loss of a VM.
 func (n *Node) Abort() {
 	n.peerServer.Stop()
 	_ = n.adminServer.Close()
 	_ = n.callerServer.Close()
 }
 
-// close ends whatever is left.
+// close stops the servers and closes all connections and pools.
 func (n *Node) close() {
 	n.Abort()
 	n.pool.Close()
 	n.workers.Close()
 	n.backends.Close()
-	n.idle()
+	n.closeIdle()
 	n.metrics.Close()
 }
--- a/node/node/status.go
+++ b/node/node/status.go
@@ -11,35 +11,35 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
-// NodeStatus describes this node, or every member that it knows. A member that
-// cannot be asked is listed with the error.
-func (n *Node) NodeStatus(ctx context.Context, whole bool) []*pb.NodeStatus {
-	list := []*pb.NodeStatus{n.ownStatus()}
-	if !whole {
+// NodeStatus returns the status of this node or, with wholeFleet, of every member in its
+// member table. If the status request to a member fails, the entry holds the error.
+func (n *Node) NodeStatus(ctx context.Context, wholeFleet bool) []*pb.NodeStatus {
+	list := []*pb.NodeStatus{n.localStatus()}
+	if !wholeFleet {
 		return list
 	}
 	var (
 		mu      sync.Mutex
-		asked   sync.WaitGroup
+		pending sync.WaitGroup
 		members = n.fleet.Members()
 	)
 	for _, m := range members {
 		if m.Name == n.settings.GetNode() {
 			continue
 		}
-		asked.Go(func() {
-			status := n.askStatus(ctx, m)
+		pending.Go(func() {
+			status := n.memberStatus(ctx, m)
 			mu.Lock()
 			defer mu.Unlock()
 			list = append(list, status)
 		})
 	}
-	asked.Wait()
+	pending.Wait()
 	sort.Slice(list, func(i, j int) bool { return list[i].GetNode() < list[j].GetNode() })
 	return list
 }
 
-func (n *Node) askStatus(ctx context.Context, m fleet.Member) *pb.NodeStatus {
+func (n *Node) memberStatus(ctx context.Context, m fleet.Member) *pb.NodeStatus {
 	status, err := n.peers.Status(ctx, m)
 	if err != nil {
 		return &pb.NodeStatus{
@@ -52,7 +52,7 @@
 	return status
 }
 
-func (n *Node) ownStatus() *pb.NodeStatus {
+func (n *Node) localStatus() *pb.NodeStatus {
 	ready, reason := n.Ready()
 	status := &pb.NodeStatus{
 		Node:              n.settings.GetNode(),
@@ -93,7 +93,7 @@
 	return list
 }
 
-// Index returns the configuration in force, nil when there is none.
+// Index returns the configuration in force, or nil if there is none.
 func (n *Node) Index() *config.Index {
 	return n.fleet.Index()
 }
--- a/node/node/wrap.go
+++ b/node/node/wrap.go
@@ -6,33 +6,33 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
-// Wrappers puts something between the parts of a node, for tests that leave a
-// safeguard out and show that a check of whole nodes then fails. No settings lead
-// here. Nil functions wrap nothing.
+// Wrappers replaces calls between components of a node. Tests use it to disable a safeguard
+// and to verify that a check of a running deployment then fails. No setting enables it. A nil
+// function wraps nothing.
 type Wrappers struct {
-	// Index wraps the configuration in force as entry and owner read it.
+	// Index wraps the function from which entry and owner read the configuration in force.
 	Index func(inForce func() *config.Index) func() *config.Index
 	// Backend wraps the owner's calls to backend servers.
 	Backend func(owner.Backend) owner.Backend
 }
 
-// indexed is a fleet whose configuration in force is read through Wrappers.
-type indexed struct {
+// wrappedFleet is a fleet with a wrapped Index method.
+type wrappedFleet struct {
 	*fleet.Fleet
 	index func() *config.Index
 }
 
-// Index returns what the wrapper makes of the configuration in force.
-func (i indexed) Index() *config.Index { return i.index() }
+// Index returns the configuration in force as the wrapper reports it.
+func (f wrappedFleet) Index() *config.Index { return f.index() }
 
-func (w Wrappers) fleet(f *fleet.Fleet) indexed {
+func (w Wrappers) wrapFleet(f *fleet.Fleet) wrappedFleet {
 	if w.Index == nil {
-		return indexed{Fleet: f, index: f.Index}
+		return wrappedFleet{Fleet: f, index: f.Index}
 	}
-	return indexed{Fleet: f, index: w.Index(f.Index)}
+	return wrappedFleet{Fleet: f, index: w.Index(f.Index)}
 }
 
-func (w Wrappers) backend(b owner.Backend) owner.Backend {
+func (w Wrappers) wrapBackend(b owner.Backend) owner.Backend {
 	if w.Backend == nil {
 		return b
 	}
