--- a/node/node/node.go
+++ b/node/node/node.go
@@ -65,8 +65,8 @@
 	stopping atomic.Bool
 }
 
-// lazyEnvelopes is set to the fleet after the peer client is created. The peer client and
-// the fleet need each other.
+// lazyEnvelopes holds the fleet for the peer client. The fleet is set after the peer client
+// is created, because each needs the other.
 type lazyEnvelopes struct {
 	*fleet.Fleet
 }
--- a/node/scenario/bounds_test.go
+++ b/node/scenario/bounds_test.go
@@ -12,14 +12,14 @@
 	"github.com/carobmill/carobmill/policy/bench/bounds"
 )
 
-// wallClockVariable asks for the figures that depend on the machine.
+// wallClockVariable enables the checks of processor time, which depends on the hardware.
 const wallClockVariable = "CAROBMILL_WALL_CLOCK"
 
-// Nobody asks anything of a fleet of eight. Its calls to the platform must not grow:
-// the service's rates grow more slowly than the fleet.
+// Guards against more platform calls of an idle fleet of eight nodes. The rate limits of
+// the platform do not grow in proportion to the fleet.
 func TestIdleFleetCallsThePlatformWithinBounds(t *testing.T) {
-	virtual(t, deployment.Options{Sheet: kenya(t, "timing")}, func(t *testing.T, d *deployment.Deployment) {
-		time.Sleep(settleTime)
+	runInVirtualTime(t, deployment.Options{Sheet: exampleSheet(t, "timing")}, func(t *testing.T, d *deployment.Deployment) {
+		time.Sleep(startupTime)
 		before := d.Platform.Calls()
 		time.Sleep(time.Minute)
 		after := d.Platform.Calls()
@@ -30,7 +30,7 @@
 	})
 }
 
-// The messages of a scatter take no more bytes than they did, per subrequest.
+// Guards against larger scatter messages per subrequest.
 func TestScatterMessagesAreWithinBounds(t *testing.T) {
 	request, response := scatterMessages(100)
 	bounds.Check(t, "bounds.txt", "scatter-100", map[string]float64{
@@ -39,8 +39,9 @@
 	})
 }
 
-// The whole path of a query and the owner's part of it, in processor time. The bounds
-// are wide, for other machines than the one they were taken on:
+// Guards against more processor time per query, and per subrequest in the owner's backend
+// client. The bounds are wide because the times depend on the hardware. The test runs on
+// demand:
 //
 //	CAROBMILL_WALL_CLOCK=1 go test ./node/scenario -run TestWallClockIsWithinBounds -v
 func TestWallClockIsWithinBounds(t *testing.T) {
--- a/node/scenario/broken_test.go
+++ b/node/scenario/broken_test.go
@@ -17,17 +17,20 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
-// keepsFirst leaves out that entry and owner follow the configuration in force.
-func keepsFirst(inForce func() *config.Index) func() *config.Index {
-	return goesBack(inForce, 0)
+// pinFirstIndex makes entry and owner ignore configuration changes.
+func pinFirstIndex(inForce func() *config.Index) func() *config.Index {
+	return revertIndex(inForce, 0)
 }
 
-// goesBackLate lets them follow it and then take an old one for news.
-func goesBackLate(inForce func() *config.Index) func() *config.Index {
-	return goesBack(inForce, deployment.LeaveGrace+time.Second)
+// revertIndexLate makes entry and owner apply a configuration change and later return to
+// the first configuration.
+func revertIndexLate(inForce func() *config.Index) func() *config.Index {
+	return revertIndex(inForce, deployment.LeaveGrace+time.Second)
 }
 
-func goesBack(inForce func() *config.Index, after time.Duration) func() *config.Index {
+// revertIndex returns the first configuration again when the given time has passed after
+// the first configuration change.
+func revertIndex(inForce func() *config.Index, after time.Duration) func() *config.Index {
 	var mu sync.Mutex
 	var first *config.Index
 	var changed time.Time
@@ -48,10 +51,10 @@
 	}
 }
 
-// deaf leaves out that the owner hears a backend server say that it leaves.
-type deaf struct{ owner.Backend }
+// ignoreDraining removes the draining state from the replies that the owner receives.
+type ignoreDraining struct{ owner.Backend }
 
-func (b deaf) Do(ctx context.Context, call adapter.Call) adapter.Reply {
+func (b ignoreDraining) Do(ctx context.Context, call adapter.Call) adapter.Reply {
 	reply := b.Backend.Do(ctx, call)
 	if reply.Reason == pb.Reason_REASON_LEAVING {
 		reply.Reason = pb.Reason_REASON_BACKEND
@@ -60,19 +63,19 @@
 	return reply
 }
 
-func (b deaf) Poll(ctx context.Context, r *config.Replica) adapter.Reply {
+func (b ignoreDraining) Poll(ctx context.Context, r *config.Replica) adapter.Reply {
 	reply := b.Backend.Poll(ctx, r)
 	reply.Draining = false
 	return reply
 }
 
-func timed(change func(*pb.Timing)) func(*pb.Settings) {
+func withTiming(change func(*pb.Timing)) func(*pb.Settings) {
 	return func(s *pb.Settings) { change(s.Timing) }
 }
 
-// workOfDataCentre takes a data centre out under load and returns the work that
-// its backend servers get after the grace.
-func workOfDataCentre(t *testing.T, d *deployment.Deployment) map[string]uint64 {
+// requestsAfterDataCentreLeaves takes a data centre out of service under load and returns
+// the number of requests that its backend servers receive after LeaveGrace.
+func requestsAfterDataCentreLeaves(t *testing.T, d *deployment.Deployment) map[string]uint64 {
 	out := proto.Clone(d.Sheet).(*pb.Sheet)
 	out.DataCentres[0].State = pb.Lifecycle_LIFECYCLE_OUT
 	qt.Assert(t, d.Publish(t.Context(), out), qt.IsNil)
@@ -80,54 +83,55 @@
 	return d.RequestsDuring(func() { time.Sleep(time.Second) }, d.ReplicasIn(out.DataCentres[0].GetName())...)
 }
 
-// The check that whatever leaves gets no new work must fail when nodes do not
-// follow the sheet, fall back to an old one, or do not hear a backend server.
+// Guards against leave checks that still pass when nodes ignore the sheet, return to an old
+// sheet, or ignore the drain of a backend server.
 func TestLeavingChecksDetectBrokenVariants(t *testing.T) {
-	broken := func(index func(func() *config.Index) func() *config.Index) deployment.Options {
-		return deployment.Options{Sheet: kenya(t, "timing"), NodesPerDataCentre: 1, Wrappers: node.Wrappers{Index: index}}
+	withIndex := func(index func(func() *config.Index) func() *config.Index) deployment.Options {
+		return deployment.Options{Sheet: exampleSheet(t, "timing"), NodesPerDataCentre: 1, Wrappers: node.Wrappers{Index: index}}
 	}
-	heardNothing := deployment.Options{Sheet: kenya(t, "timing"), NodesPerDataCentre: 1, Wrappers: node.Wrappers{
-		Backend: func(b owner.Backend) owner.Backend { return deaf{b} },
+	withoutDraining := deployment.Options{Sheet: exampleSheet(t, "timing"), NodesPerDataCentre: 1, Wrappers: node.Wrappers{
+		Backend: func(b owner.Backend) owner.Backend { return ignoreDraining{b} },
 	}}
-	by := func(leave func(*testing.T, *deployment.Deployment)) func(*testing.T, *deployment.Deployment) map[string]uint64 {
-		return func(t *testing.T, d *deployment.Deployment) map[string]uint64 { return workAfterLeaving(t, d, leave) }
+	afterLeave := func(leave func(*testing.T, *deployment.Deployment)) func(*testing.T, *deployment.Deployment) map[string]uint64 {
+		return func(t *testing.T, d *deployment.Deployment) map[string]uint64 {
+			return requestsAfterLeaving(t, d, leave)
+		}
 	}
 	for _, v := range []struct {
 		name  string
 		o     deployment.Options
 		check func(*testing.T, *deployment.Deployment) map[string]uint64
 	}{
-		{"data centre out, first configuration kept", broken(keepsFirst), workOfDataCentre},
-		{"backend server out, first configuration kept", broken(keepsFirst), by(leaveBySheet)},
-		{"backend server out, old configuration taken for news", broken(goesBackLate), by(leaveBySheet)},
-		{"backend server drains, its word not heard", heardNothing, by(leaveByOwnWord)},
+		{"data centre out, first configuration kept", withIndex(pinFirstIndex), requestsAfterDataCentreLeaves},
+		{"backend server out, first configuration kept", withIndex(pinFirstIndex), afterLeave(leaveBySheet)},
+		{"backend server out, old configuration applied again", withIndex(revertIndexLate), afterLeave(leaveBySheet)},
+		{"backend server drains, draining state ignored", withoutDraining, afterLeave(leaveByDraining)},
 	} {
 		t.Run(v.name, func(t *testing.T) {
-			virtual(t, v.o, func(t *testing.T, d *deployment.Deployment) {
+			runInVirtualTime(t, v.o, func(t *testing.T, d *deployment.Deployment) {
 				warmUp(t, d)
 				startTraffic(t, d, 1, d.Nodes...)
-				work := v.check(t, d)
-				t.Logf("%v", work)
-				qt.Assert(t, work, qt.Not(qt.HasLen), 0, qt.Commentf("the broken variant was not caught"))
+				requests := v.check(t, d)
+				t.Logf("%v", requests)
+				qt.Assert(t, requests, qt.Not(qt.HasLen), 0, qt.Commentf("the broken variant was not detected"))
 			})
 		})
 	}
 }
 
-// A node that refuses callers before the balancer has noticed, and one that does
-// not wait for requests in flight, must both be caught by the check of a graceful
-// shutdown.
+// Guards against a shutdown check that still passes when a node refuses callers within the
+// balancer lag, or does not wait for requests in flight.
 func TestShutdownCheckDetectsBrokenVariants(t *testing.T) {
 	for name, change := range map[string]func(*pb.Timing){
-		"refuses at once":  func(timing *pb.Timing) { timing.BalancerLagMs = proto.Uint32(0) },
-		"waits for no one": func(timing *pb.Timing) { timing.DrainTimeoutMs = 0 },
+		"refuses immediately":                  func(timing *pb.Timing) { timing.BalancerLagMs = proto.Uint32(0) },
+		"does not wait for requests in flight": func(timing *pb.Timing) { timing.DrainTimeoutMs = 0 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := deployment.Options{Sheet: kenya(t, "timing"), Backend: longWork, Settings: timed(change)}
-			virtual(t, o, func(t *testing.T, d *deployment.Deployment) {
-				saw := shutDown(t, d)
-				qt.Assert(t, saw.Interrupted, qt.Not(qt.HasLen), 0, qt.Commentf("the broken variant was not caught"))
-				t.Log(saw.Interrupted[0])
+			o := deployment.Options{Sheet: exampleSheet(t, "timing"), Backend: longServiceTime, Settings: withTiming(change)}
+			runInVirtualTime(t, o, func(t *testing.T, d *deployment.Deployment) {
+				result := shutDownFirstNode(t, d)
+				qt.Assert(t, result.Interrupted, qt.Not(qt.HasLen), 0, qt.Commentf("the broken variant was not detected"))
+				t.Log(result.Interrupted[0])
 			})
 		})
 	}
--- a/node/scenario/caller_test.go
+++ b/node/scenario/caller_test.go
@@ -23,7 +23,7 @@
 }
 
 func TestQueryIsAnsweredInFull(t *testing.T) {
-	virtual(t, deployment.Options{Sheet: kenya(t, "timing"), NodesPerDataCentre: 1}, func(t *testing.T, d *deployment.Deployment) {
+	runInVirtualTime(t, deployment.Options{Sheet: exampleSheet(t, "timing"), NodesPerDataCentre: 1}, func(t *testing.T, d *deployment.Deployment) {
 		c := qt.New(t)
 		req := timingQuery()
 		req.Trace = true
@@ -41,7 +41,7 @@
 }
 
 func TestInvalidRequestErrorNamesField(t *testing.T) {
-	d := start(t, deployment.Options{Sheet: kenya(t, "timing"), NodesPerDataCentre: 1})
+	d := start(t, deployment.Options{Sheet: exampleSheet(t, "timing"), NodesPerDataCentre: 1})
 	addr := d.Nodes[0].Settings.GetCallerAddress()
 	cases := []struct {
 		body   string
@@ -73,11 +73,11 @@
 	}
 }
 
-// TestShortDeadlineIsRefusedOrAnsweredInPart guards against an error after the fact where a caller
-// allows less time than a backend server takes: it is refused as not run, or gets a partial
-// answer that names the shards that missed the deadline.
+// Guards against a late error when the deadline is shorter than the service time of the
+// backend servers. The query must be refused as not run, or the partial answer must list
+// the absent shards.
 func TestShortDeadlineIsRefusedOrAnsweredInPart(t *testing.T) {
-	virtual(t, deployment.Options{Sheet: kenya(t, "timing"), NodesPerDataCentre: 1}, func(t *testing.T, d *deployment.Deployment) {
+	runInVirtualTime(t, deployment.Options{Sheet: exampleSheet(t, "timing"), NodesPerDataCentre: 1}, func(t *testing.T, d *deployment.Deployment) {
 		c := qt.New(t)
 		req := timingQuery()
 		req.DeadlineMs = 1
--- a/node/scenario/capacity_test.go
+++ b/node/scenario/capacity_test.go
@@ -15,10 +15,10 @@
 	"github.com/carobmill/carobmill/standin/backend"
 )
 
-// The slopes below go into docs/CAPACITY.md.
+// docs/CAPACITY.md reports the results of these benchmarks.
 
-// BenchmarkConfiguration is what a configuration of n replicas takes: its size
-// in the platform's service, its index in memory, and the time to build it.
+// BenchmarkConfiguration measures the stored size of a configuration, the heap size of its
+// index and the time to build the index, by number of replicas.
 func BenchmarkConfiguration(b *testing.B) {
 	for _, replicas := range []int{75, 875, 3500} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
@@ -49,8 +49,8 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkScatter is the encoding cost of one message to an owner and of its
-// answer, by subrequests in it: both ends of both messages.
+// BenchmarkScatter measures encoding and decoding of a scatter request and its response,
+// by number of subrequests.
 func BenchmarkScatter(b *testing.B) {
 	for _, n := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("subrequests=%d", n), func(b *testing.B) {
@@ -95,7 +95,7 @@
 	return request, response
 }
 
-// BenchmarkRank is the cost of ranking a data centre's members for one replica.
+// BenchmarkRank measures the ranking of a data centre's members for one replica.
 func BenchmarkRank(b *testing.B) {
 	for _, members := range []int{2, 20, 188} {
 		names := make([]string, members)
--- a/node/scenario/change_test.go
+++ b/node/scenario/change_test.go
@@ -11,9 +11,9 @@
 	"github.com/carobmill/carobmill/node/deployment"
 )
 
-// checkLoads checks what every backend server has borne at most: no cold one got
-// more than it bears, and none more connections than it accepts.
-func checkLoads(t testing.TB, d *deployment.Deployment) {
+// checkBackendLimits checks that no backend server exceeded its cold limit or its connection
+// limit.
+func checkBackendLimits(t testing.TB, d *deployment.Deployment) {
 	t.Helper()
 	for _, svc := range d.Sheet.GetServices() {
 		for _, g := range svc.GetGenerations() {
@@ -29,26 +29,24 @@
 	}
 }
 
-// A data centre is taken out under load and comes back. The callers elsewhere
-// notice nothing: every answer stays complete. Its backend servers get no new
-// work a few seconds after the change is accepted, its entry nodes turn unready
-// and still answer, and on return its backend servers, treated as cold, never
-// get more than a cold one bears.
+// Guards against incomplete answers, requests to leaving backend servers after LeaveGrace,
+// and overload of cold backend servers, when a data centre is taken out of service under load
+// and returns. Its entry nodes must become unready but still answer.
 func TestDataCentreLeavesAndReturns(t *testing.T) {
-	o := deployment.Options{Sheet: kenya(t, "timing")}
-	virtual(t, o, dataCentreLeavesAndReturns)
+	o := deployment.Options{Sheet: exampleSheet(t, "timing")}
+	runInVirtualTime(t, o, dataCentreLeavesAndReturns)
 }
 
 func dataCentreLeavesAndReturns(t *testing.T, d *deployment.Deployment) {
 	c := qt.New(t)
 	out := proto.Clone(d.Sheet).(*pb.Sheet)
 	out.DataCentres[0].State = pb.Lifecycle_LIFECYCLE_OUT
-	gone := out.GetDataCentres()[0].GetName()
+	leaving := out.GetDataCentres()[0].GetName()
 	warmUp(t, d)
 	tr := startTraffic(t, d, 2, d.Nodes[2:]...)
 	time.Sleep(time.Second)
 
-	left := time.Now()
+	leftAt := time.Now()
 	c.Assert(d.Publish(t.Context(), out), qt.IsNil)
 	err := deployment.Wait(t.Context(), 3*time.Second, func() string {
 		for _, n := range d.Nodes[:2] {
@@ -59,111 +57,110 @@
 		return ""
 	})
 	c.Assert(err, qt.IsNil)
-	time.Sleep(time.Until(left.Add(deployment.LeaveGrace)))
-	work := d.RequestsDuring(func() {
+	time.Sleep(time.Until(leftAt.Add(deployment.LeaveGrace)))
+	requests := d.RequestsDuring(func() {
 		answer, _, err := d.Query(t.Context(), d.Nodes[0].Settings.GetCallerAddress(), timingQuery())
 		c.Assert(err, qt.IsNil)
-		c.Assert(answer.Coverage, qt.Equals, 1.0, qt.Commentf("an unready entry node still answers"))
+		c.Assert(answer.Coverage, qt.Equals, 1.0, qt.Commentf("an unready entry node must answer"))
 		time.Sleep(time.Second)
-	}, d.ReplicasIn(gone)...)
-	c.Assert(work, qt.HasLen, 0)
+	}, d.ReplicasIn(leaving)...)
+	c.Assert(requests, qt.HasLen, 0)
 
-	back := time.Now()
+	returnedAt := time.Now()
 	c.Assert(d.Publish(t.Context(), d.Sheet), qt.IsNil)
-	work = d.RequestsDuring(func() { time.Sleep(2 * time.Second) }, d.ReplicasIn(gone)...)
-	c.Assert(work, qt.Not(qt.HasLen), 0)
+	requests = d.RequestsDuring(func() { time.Sleep(2 * time.Second) }, d.ReplicasIn(leaving)...)
+	c.Assert(requests, qt.Not(qt.HasLen), 0)
 	answers := tr.end()
-	t.Logf("quiet:  %s", summarise(answers, left.Add(-time.Second), left))
-	t.Logf("out:    %s", summarise(answers, left, back))
-	t.Logf("return: %s", summarise(answers, back, time.Now()))
+	t.Logf("before: %s", summarise(answers, leftAt.Add(-time.Second), leftAt))
+	t.Logf("out:    %s", summarise(answers, leftAt, returnedAt))
+	t.Logf("back:   %s", summarise(answers, returnedAt, time.Now()))
 	logPartial(t, answers)
-	all := summarise(answers, left.Add(-time.Hour), time.Now())
+	all := summarise(answers, leftAt.Add(-time.Hour), time.Now())
 	c.Assert(all.complete, qt.Equals, all.total, qt.Commentf("%s", all))
-	checkLoads(t, d)
+	checkBackendLimits(t, d)
 }
 
-// leaver is the backend server that leaves in the tests below.
-func leaver(s *pb.Sheet) *pb.Replica {
+// leavingReplica returns the replica whose backend server leaves in the tests below.
+func leavingReplica(s *pb.Sheet) *pb.Replica {
 	return s.GetServices()[0].GetGenerations()[0].GetShards()[0].GetReplicas()[0]
 }
 
-// leaveBySheet and leaveByOwnWord are the two ways in which it does.
+// leaveBySheet takes the backend server out of service in the sheet.
 func leaveBySheet(t *testing.T, d *deployment.Deployment) {
 	out := proto.Clone(d.Sheet).(*pb.Sheet)
-	leaver(out).State = pb.Lifecycle_LIFECYCLE_OUT
+	leavingReplica(out).State = pb.Lifecycle_LIFECYCLE_OUT
 	qt.Assert(t, d.Publish(t.Context(), out), qt.IsNil)
 }
 
-func leaveByOwnWord(t *testing.T, d *deployment.Deployment) {
-	d.Backends[leaver(d.Sheet).GetName()].Drain(true)
+// leaveByDraining makes the backend server drain.
+func leaveByDraining(t *testing.T, d *deployment.Deployment) {
+	d.Backends[leavingReplica(d.Sheet).GetName()].Drain(true)
 }
 
-// workAfterLeaving lets the backend server leave under load and returns the work
-// that it gets after the grace, while news from when it was warm arrives a second
-// time at every node.
-func workAfterLeaving(t *testing.T, d *deployment.Deployment, leave func(*testing.T, *deployment.Deployment)) map[string]uint64 {
-	name := leaver(d.Sheet).GetName()
+// requestsAfterLeaving makes the backend server leave under load and returns the number of
+// requests that it receives after LeaveGrace. Meanwhile every node receives an old report
+// again, in which the backend server is warm.
+func requestsAfterLeaving(t *testing.T, d *deployment.Deployment, leave func(*testing.T, *deployment.Deployment)) map[string]uint64 {
+	name := leavingReplica(d.Sheet).GetName()
 	old := &pb.ReplicaNews{Replica: name, OldestSnapshot: 1, NewestSnapshot: 1, State: pb.ReplicaState_REPLICA_STATE_WARM, Limit: 1}
 	first := d.FirstOwner(t.Context(), name)
-	arrive := func() { qt.Assert(t, d.ReplayReplicaReport(t.Context(), first, "timing", old), qt.IsNil) }
-	arrive()
+	sendOldReport := func() { qt.Assert(t, d.ReplayReplicaReport(t.Context(), first, "timing", old), qt.IsNil) }
+	sendOldReport()
 	leave(t, d)
 	time.Sleep(deployment.LeaveGrace)
 	return d.RequestsDuring(func() {
 		for range 2 {
-			arrive()
+			sendOldReport()
 			time.Sleep(time.Second)
 		}
 	}, name)
 }
 
-// One backend server leaves, by the sheet or by its own word, and comes back. It
-// gets no new work 3 s after that, also when old news of it arrives again; back in
-// service it counts as cold, is warmed up by one node, and gets its part again.
-// Callers get complete answers all along.
+// Guards against requests to a backend server after LeaveGrace, also when an old report about
+// it arrives late. After its return, the backend server must warm up without overload and
+// receive its share of requests again. All answers must be complete.
 func TestBackendServerLeavesAndReturns(t *testing.T) {
 	for _, v := range []struct {
 		name  string
 		leave func(*testing.T, *deployment.Deployment)
-		// warms is how long it may take to warm up again.
-		warms time.Duration
+		// warmUpTime limits the time to warm up again.
+		warmUpTime time.Duration
 	}{
 		{"by the sheet", leaveBySheet, 4 * time.Second},
-		{"by its own word", leaveByOwnWord, 4 * time.Second},
+		{"by draining", leaveByDraining, 4 * time.Second},
 	} {
 		t.Run(v.name, func(t *testing.T) {
-			virtual(t, deployment.Options{Sheet: kenya(t, "timing")}, func(t *testing.T, d *deployment.Deployment) {
+			runInVirtualTime(t, deployment.Options{Sheet: exampleSheet(t, "timing")}, func(t *testing.T, d *deployment.Deployment) {
 				c := qt.New(t)
 				warmUp(t, d)
 				tr := startTraffic(t, d, 1, d.Nodes...)
 				began := time.Now()
-				c.Assert(workAfterLeaving(t, d, v.leave), qt.HasLen, 0)
-				leaving := leaver(d.Sheet).GetName()
+				c.Assert(requestsAfterLeaving(t, d, v.leave), qt.HasLen, 0)
+				leaving := leavingReplica(d.Sheet).GetName()
 				d.Backends[leaving].Restart()
 				c.Assert(d.Publish(t.Context(), d.Sheet), qt.IsNil)
-				work := d.RequestsDuring(func() { time.Sleep(v.warms) }, leaving)
-				c.Assert(work[leaving] > 20, qt.IsTrue, qt.Commentf("work again: %v", work))
-				sibling := d.Sheet.GetServices()[0].GetGenerations()[0].GetShards()[0].GetReplicas()[1].GetName()
-				work = d.RequestsDuring(func() { time.Sleep(time.Second) }, leaving, sibling)
-				c.Assert(4*work[leaving] > work[sibling], qt.IsTrue, qt.Commentf("in the second after: %v", work))
+				requests := d.RequestsDuring(func() { time.Sleep(v.warmUpTime) }, leaving)
+				c.Assert(requests[leaving] > 20, qt.IsTrue, qt.Commentf("requests during warm-up: %v", requests))
+				otherReplica := d.Sheet.GetServices()[0].GetGenerations()[0].GetShards()[0].GetReplicas()[1].GetName()
+				requests = d.RequestsDuring(func() { time.Sleep(time.Second) }, leaving, otherReplica)
+				c.Assert(4*requests[leaving] > requests[otherReplica], qt.IsTrue, qt.Commentf("requests after warm-up: %v", requests))
 				answers := tr.end()
 				logPartial(t, answers)
 				all := summarise(answers, began, time.Now())
 				t.Logf("%s", all)
 				c.Assert(all.complete, qt.Equals, all.total)
-				checkLoads(t, d)
+				checkBackendLimits(t, d)
 			})
 		})
 	}
 }
 
-// A backend server restarts cold without warning, again and again, under load
-// from eight nodes. It falls over when it gets more than one request at a time,
-// so its first owner alone may use it, one request after the other, until it has
-// warmed up. Callers get complete answers from its siblings meanwhile.
+// Guards against overload of a backend server that restarts cold repeatedly under load from
+// eight nodes. Its cold limit is one request, so only the first owner may use it until it is
+// warm. Answers must stay complete through the other replicas.
 func TestUnannouncedColdRestartsKeepAnswersComplete(t *testing.T) {
-	o := deployment.Options{Sheet: kenya(t, "timing")}
-	virtual(t, o, unannouncedColdStart)
+	o := deployment.Options{Sheet: exampleSheet(t, "timing")}
+	runInVirtualTime(t, o, unannouncedColdStart)
 }
 
 func unannouncedColdStart(t *testing.T, d *deployment.Deployment) {
@@ -179,6 +176,6 @@
 	logPartial(t, answers)
 	all := summarise(answers, time.Time{}, time.Now())
 	t.Logf("%s", all)
-	checkLoads(t, d)
+	checkBackendLimits(t, d)
 	c.Assert(all.complete, qt.Equals, all.total, qt.Commentf("%s", all))
 }
--- a/node/scenario/cost_test.go
+++ b/node/scenario/cost_test.go
@@ -28,8 +28,9 @@
 	"github.com/carobmill/carobmill/standin/backend"
 )
 
-// costSheet is one service of n shards with one replica each, spread over the
-// data centres. Limits are wide, so that only the work itself is measured.
+// costSheet returns a sheet with one service of n shards. Each shard has one replica, and the
+// replicas are spread over the data centres. The limits are high, so that requests do not
+// queue in the benchmarks.
 func costSheet(n, dataCentres int) *pb.Sheet {
 	s := &pb.Sheet{Fleet: "cost", Tuning: &pb.Tuning{Owners: 1}}
 	for i := range dataCentres {
@@ -67,15 +68,15 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// backendsVariable holds the number of backend servers that TestServeBackends
-// runs, in the process that startBackends starts.
+// backendsVariable is the number of backend servers that TestServeBackends runs in the
+// process that startBackends starts.
 const backendsVariable = "CAROBMILL_COST_BACKENDS"
 
-// spreadVariable is how far the backend servers' service times differ.
+// spreadVariable is the spread of the backend servers' service times.
 const spreadVariable = "CAROBMILL_COST_SPREAD"
 
-// TestServeBackends serves stand-ins for a benchmark in another process, until
-// standard input ends.
+// TestServeBackends serves backend stand-ins for a benchmark in another process until
+// standard input is closed. It is skipped in normal test runs.
 func TestServeBackends(t *testing.T) {
 	n, err := strconv.Atoi(os.Getenv(backendsVariable))
 	if err != nil {
@@ -100,9 +101,8 @@
 	_, _ = io.Copy(io.Discard, os.Stdin)
 }
 
-// startBackends runs n backend servers in a process of their own, so that the
-// processor time of this one is the fleet's and the caller's alone, and returns
-// their addresses.
+// startBackends runs n backend servers in a separate process and returns their addresses.
+// The processor time of this process then excludes the backend servers.
 func startBackends(b *testing.B, n int) []string {
 	cmd := exec.Command(os.Args[0], "-test.run=^TestServeBackends$")
 	cmd.Env = append(os.Environ(), backendsVariable+"="+strconv.Itoa(n))
@@ -127,11 +127,10 @@
 
 func shardName(i int) string { return fmt.Sprintf("s%04d", i) }
 
-// BenchmarkQueryCost is the cost of a query through the whole path over
-// loopback: caller, entry node, owner nodes, and backend servers in a process of
-// their own. The figures hold the caller's part, which does not grow with the
-// shards but for reading the answer. One data centre means one node and no hop
-// between nodes.
+// BenchmarkQueryCost measures a query over loopback through caller, entry node, owner nodes
+// and backend servers. The backend servers run in a separate process. The results include the
+// caller, whose cost grows with the shards only when it reads the answer. With one data centre
+// there is one node and no hop between nodes.
 func BenchmarkQueryCost(b *testing.B) {
 	for _, dataCentres := range []int{1, 4} {
 		for _, shards := range []int{10, 100, 1700} {
@@ -153,7 +152,7 @@
 	qt.Assert(b, d.Publish(b.Context(), d.Sheet), qt.IsNil)
 	qt.Assert(b, d.WaitReady(b.Context()), qt.IsNil)
 	for range 40 {
-		askCost(b, d)
+		sendCostQuery(b, d)
 	}
 	runtime.GC()
 	var before, after runtime.MemStats
@@ -162,7 +161,7 @@
 	queries, complete := 0, 0
 	for b.Loop() {
 		queries++
-		answer := askCost(b, d)
+		answer := sendCostQuery(b, d)
 		if answer.Outcome == query.Complete {
 			complete++
 			continue
@@ -178,7 +177,7 @@
 	b.ReportMetric(float64(complete)/n, "complete")
 }
 
-func askCost(b *testing.B, d *deployment.Deployment) *caller.Answer {
+func sendCostQuery(b *testing.B, d *deployment.Deployment) *caller.Answer {
 	answer, _, err := d.Query(context.Background(), d.Nodes[0].Settings.GetCallerAddress(), &caller.QueryRequest{
 		Service: "cost", Class: "all", Query: json.RawMessage(`{"rider":"KE-1207"}`),
 	})
@@ -186,10 +185,10 @@
 	return answer
 }
 
-// BenchmarkAttemptCost is the owner's part alone: subrequests over kept HTTP/1.1
-// connections to backend servers in a process of their own, each alone and in
-// batches. Bytes are what this process writes and reads. Without a spread of
-// service times replies are ready together; with one they come singly.
+// BenchmarkAttemptCost measures the owner's backend client: subrequests over persistent
+// HTTP/1.1 connections to backend servers in a separate process, alone and in batches. Bytes
+// are those that this process writes and reads. Without a spread of service times, the replies
+// of a batch are ready at the same time; with a spread, they arrive one after the other.
 func BenchmarkAttemptCost(b *testing.B) {
 	for _, spread := range []string{"0s", "5ms"} {
 		for _, size := range []int{1, 8, 32} {
@@ -215,7 +214,7 @@
 	round := func() {
 		var wg sync.WaitGroup
 		for i, r := range replicas {
-			wg.Go(func() { attempts(b, client, r, shardName(i), size) })
+			wg.Go(func() { sendAttempts(b, client, r, shardName(i), size) })
 		}
 		wg.Wait()
 	}
@@ -238,8 +237,8 @@
 	b.ReportMetric(float64(client.Stats().BytesIn+client.Stats().BytesOut-wire)/n, "wire-B/subrequest")
 }
 
-// attempts sends subrequests to one replica, alone or in one batch.
-func attempts(b *testing.B, client *adapter.Client, r *config.Replica, shard string, size int) {
+// sendAttempts sends subrequests to one replica: a single one alone, several in one batch.
+func sendAttempts(b *testing.B, client *adapter.Client, r *config.Replica, shard string, size int) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	call := adapter.Call{Replica: r, Shard: shard, Class: "all", Generation: 1, Snapshot: 1, Body: []byte(`{"rider":"KE-1207"}`)}
--- a/node/scenario/doc.go
+++ b/node/scenario/doc.go
@@ -1,3 +1,3 @@
-// Package scenario holds tests of several real nodes over stand-ins. Each test
-// causes one failure and checks what callers see.
+// Package scenario contains multi-node tests. Real nodes use stand-ins for the platform
+// and the backend servers. Each test injects a failure and checks the answers to callers.
 package scenario
--- a/node/scenario/idle_test.go
+++ b/node/scenario/idle_test.go
@@ -16,16 +16,16 @@
 	"github.com/carobmill/carobmill/node/deployment"
 )
 
-// idleTime is how long an idle fleet is watched.
+// idleTime is the duration of a measurement of an idle fleet.
 const idleTime = 20 * time.Second
 
-// settleTime lets the news of the start run out before the watch begins.
-const settleTime = time.Minute
+// startupTime is the wait before a measurement of an idle fleet. In this time the gossip
+// messages of the start end.
+const startupTime = time.Minute
 
-// BenchmarkIdleFleet is what a node spends on control while no query runs:
-// pings, status polls of owned replicas, watches, its own tables. The backend
-// servers are in a process of their own; the platform's stand-in is in this one.
-// Run with -benchtime 1x.
+// BenchmarkIdleFleet measures the control traffic and tables of a node while no query runs:
+// pings, status polls of owned replicas and watches. The backend servers run in a separate
+// process; the platform stand-in runs in this one. Run with -benchtime 1x.
 func BenchmarkIdleFleet(b *testing.B) {
 	for _, f := range []struct {
 		nodes, replicas int
@@ -60,9 +60,9 @@
 	}
 	qt.Assert(b, d.Publish(b.Context(), d.Sheet), qt.IsNil)
 	qt.Assert(b, d.WaitReady(b.Context()), qt.IsNil)
-	// Cold replicas cost claims between their owners.
+	// Owners of a cold replica exchange claims, which would add to the idle traffic.
 	err := deployment.Wait(b.Context(), time.Minute, func() string {
-		askCost(b, d)
+		sendCostQuery(b, d)
 		for _, n := range d.Nodes {
 			for _, o := range n.NodeStatus(b.Context(), false)[0].GetOwned() {
 				if o.GetNews().GetState() != pb.ReplicaState_REPLICA_STATE_WARM {
@@ -73,7 +73,7 @@
 		return ""
 	})
 	qt.Assert(b, err, qt.IsNil)
-	time.Sleep(settleTime)
+	time.Sleep(startupTime)
 	used, written, calls := processorTime(), bytesWritten(b), d.Platform.Calls()
 	for b.Loop() {
 		time.Sleep(idleTime)
@@ -89,7 +89,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// bytesWritten is what this process has handed to write calls, sockets included.
+// bytesWritten returns the number of bytes that this process has passed to write calls,
+// sockets included.
 func bytesWritten(b *testing.B) uint64 {
 	file, err := os.Open("/proc/self/io")
 	qt.Assert(b, err, qt.IsNil)
@@ -102,6 +103,6 @@
 			return n
 		}
 	}
-	b.Fatal("no count of bytes written")
+	b.Fatal("no wchar line in /proc/self/io")
 	return 0
 }
--- a/node/scenario/main_test.go
+++ b/node/scenario/main_test.go
@@ -16,38 +16,38 @@
 	"github.com/carobmill/carobmill/standin/memnet"
 )
 
-// kenya reads the Kenyan sheet and keeps the named services.
-func kenya(t testing.TB, services ...string) *pb.Sheet {
+// exampleSheet loads the example sheet kenya.yaml with only the named services.
+func exampleSheet(t testing.TB, services ...string) *pb.Sheet {
 	t.Helper()
 	sheet, faults := sheetfile.Load(filepath.Join("..", "..", "examples", "kenya.yaml"))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	var kept []*pb.Service
+	var selected []*pb.Service
 	for _, svc := range sheet.GetServices() {
 		for _, name := range services {
 			if svc.GetName() == name {
-				kept = append(kept, svc)
+				selected = append(selected, svc)
 			}
 		}
 	}
-	sheet.Services = kept
+	sheet.Services = selected
 	return sheet
 }
 
 // linkDelay is the one-way delay between data centres.
 const linkDelay = 500 * time.Microsecond
 
-// virtual runs a test over an in-memory network in virtual time, so that a busy
-// machine changes no verdict.
-func virtual(t *testing.T, o deployment.Options, run func(t *testing.T, d *deployment.Deployment)) {
+// runInVirtualTime runs a test over an in-memory network in virtual time. The result does not
+// depend on the load of the computer.
+func runInVirtualTime(t *testing.T, o deployment.Options, run func(t *testing.T, d *deployment.Deployment)) {
 	synctest.Test(t, func(t *testing.T) {
 		o.Network = memnet.New(linkDelay)
 		run(t, start(t, o))
 	})
 }
 
-// start brings a deployment up for one test.
+// start starts a deployment and closes it when the test ends.
 func start(t testing.TB, o deployment.Options) *deployment.Deployment {
 	t.Helper()
 	log := logrus.New()
--- a/node/scenario/partition_test.go
+++ b/node/scenario/partition_test.go
@@ -20,72 +20,70 @@
 	return names
 }
 
-// split cuts one data centre off from the others and from the platform, or mends
-// that.
-func split(d *deployment.Deployment, alone string, cut bool) {
+// setPartition cuts the links of one data centre to the others and to the platform, or
+// restores them.
+func setPartition(d *deployment.Deployment, isolated string, cut bool) {
 	others := append(dataCentres(d), deployment.PlatformHost)
 	for _, other := range others {
 		switch {
-		case other == alone:
+		case other == isolated:
 		case cut:
-			d.Network.Cut(alone, other)
+			d.Network.Cut(isolated, other)
 		default:
-			d.Network.Mend(alone, other)
+			d.Network.Mend(isolated, other)
 		}
 	}
 }
 
-// A data centre is cut off from the others and from the platform for ten seconds.
-// Callers on the larger side get complete answers from the replicas there; those
-// in the cut-off data centre get what it holds, labelled with its true coverage.
-// Nobody waits for dead peers on each query once they are known to be dead, in
-// under 2 s, and after the cut all answers are complete again.
+// Guards against failed queries while a data centre is isolated from the others and from the
+// platform. The larger side must give complete answers, and the isolated side partial answers
+// with their coverage. After 2 s, queries must no longer wait for unreachable peers. From 4 s
+// after the end of the partition, the formerly isolated side must give complete answers.
 func TestBothSidesOfPartitionServeQueries(t *testing.T) {
-	o := deployment.Options{Sheet: kenya(t, "timing")}
-	virtual(t, o, func(t *testing.T, d *deployment.Deployment) {
+	o := deployment.Options{Sheet: exampleSheet(t, "timing")}
+	runInVirtualTime(t, o, func(t *testing.T, d *deployment.Deployment) {
 		c := qt.New(t)
 		warmUp(t, d)
 		inside := startTraffic(t, d, 1, d.Nodes[:2]...)
 		outside := startTraffic(t, d, 1, d.Nodes[2:]...)
 		time.Sleep(time.Second)
 		cut := time.Now()
-		split(d, d.Sheet.GetDataCentres()[0].GetName(), true)
+		setPartition(d, d.Sheet.GetDataCentres()[0].GetName(), true)
 		time.Sleep(10 * time.Second)
-		mended := time.Now()
-		split(d, d.Sheet.GetDataCentres()[0].GetName(), false)
+		restoredAt := time.Now()
+		setPartition(d, d.Sheet.GetDataCentres()[0].GetName(), false)
 		time.Sleep(6 * time.Second)
-		healed := mended.Add(4 * time.Second)
+		recoveredAt := restoredAt.Add(4 * time.Second)
 		in, out := inside.end(), outside.end()
 
 		t.Logf("outside, detecting: %s", summarise(out, cut, cut.Add(2*time.Second)))
-		t.Logf("outside, cut:       %s", summarise(out, cut.Add(2*time.Second), mended))
-		t.Logf("outside, mended:    %s", summarise(out, mended, time.Now()))
-		logPartial(t, since(out, mended))
+		t.Logf("outside, cut:       %s", summarise(out, cut.Add(2*time.Second), restoredAt))
+		t.Logf("outside, restored:  %s", summarise(out, restoredAt, time.Now()))
+		logPartial(t, resultsAfter(out, restoredAt))
 		t.Logf("inside, detecting:  %s", summarise(in, cut, cut.Add(2*time.Second)))
-		t.Logf("inside, cut:        %s", summarise(in, cut.Add(2*time.Second), mended))
-		t.Logf("inside, healed:     %s", summarise(in, healed, time.Now()))
+		t.Logf("inside, cut:        %s", summarise(in, cut.Add(2*time.Second), restoredAt))
+		t.Logf("inside, recovered:  %s", summarise(in, recoveredAt, time.Now()))
 
-		during := summarise(out, cut.Add(2*time.Second), mended)
+		during := summarise(out, cut.Add(2*time.Second), restoredAt)
 		c.Assert(during.complete, qt.Equals, during.total)
 		c.Assert(during.p99 < 60*time.Millisecond, qt.IsTrue, qt.Commentf("p99 %s", during.p99))
-		alone := summarise(in, cut.Add(2*time.Second), mended)
-		c.Assert(alone.failed, qt.Equals, 0)
-		c.Assert(alone.partial, qt.Equals, alone.total)
-		// The sheet puts a replica of 7 or 8 of the 10 shards into each data centre.
-		c.Assert(alone.minCoverage >= 0.7, qt.IsTrue, qt.Commentf("coverage %v", alone.minCoverage))
-		c.Assert(alone.p99 < 60*time.Millisecond, qt.IsTrue, qt.Commentf("p99 %s", alone.p99))
-		after := summarise(in, healed, time.Now())
+		isolated := summarise(in, cut.Add(2*time.Second), restoredAt)
+		c.Assert(isolated.failed, qt.Equals, 0)
+		c.Assert(isolated.partial, qt.Equals, isolated.total)
+		// Each data centre of the sheet holds replicas of 7 or 8 of the 10 shards.
+		c.Assert(isolated.minCoverage >= 0.7, qt.IsTrue, qt.Commentf("coverage %v", isolated.minCoverage))
+		c.Assert(isolated.p99 < 60*time.Millisecond, qt.IsTrue, qt.Commentf("p99 %s", isolated.p99))
+		after := summarise(in, recoveredAt, time.Now())
 		c.Assert(after.complete, qt.Equals, after.total, qt.Commentf("%s", after))
-		checkLoads(t, d)
+		checkBackendLimits(t, d)
 	})
 }
 
-// A node's VM is lost with everything in flight, and later replaced. Callers at
-// the other nodes get complete answers all along: the lost node's part of a query
-// comes from other replicas at once, and soon from the other owner.
+// Guards against incomplete answers at the other nodes when a node's VM is lost with requests
+// in flight and later replaced.
 func TestLostNodeIsReplaced(t *testing.T) {
-	o := deployment.Options{Sheet: kenya(t, "timing")}
-	virtual(t, o, func(t *testing.T, d *deployment.Deployment) {
+	o := deployment.Options{Sheet: exampleSheet(t, "timing")}
+	runInVirtualTime(t, o, func(t *testing.T, d *deployment.Deployment) {
 		c := qt.New(t)
 		warmUp(t, d)
 		tr := startTraffic(t, d, 1, d.Nodes[1:]...)
@@ -103,61 +101,61 @@
 		t.Logf("replaced: %s", summarise(answers, replaced, time.Now()))
 		all := summarise(answers, began, time.Now())
 		c.Assert(all.complete, qt.Equals, all.total)
-		checkLoads(t, d)
+		checkBackendLimits(t, d)
 	})
 }
 
-// longWork makes requests last so long that some are always in flight when a node
-// stops taking callers.
-func longWork(o *backend.Options) {
+// longServiceTime sets a service time with which requests are always in flight when a node
+// begins to refuse callers.
+func longServiceTime(o *backend.Options) {
 	o.ServiceTime = backend.ServiceTime{Base: 12 * time.Millisecond, Spread: 4 * time.Millisecond}
 }
 
-// shutDown stops a node under load from callers there and elsewhere.
-func shutDown(t *testing.T, d *deployment.Deployment) *deployment.ShutdownResult {
+// shutDownFirstNode stops the first node while callers use it and the other nodes. The answers
+// at the other nodes must be complete.
+func shutDownFirstNode(t *testing.T, d *deployment.Deployment) *deployment.ShutdownResult {
 	warmUp(t, d)
-	elsewhere := startTraffic(t, d, 1, d.Nodes[1:]...)
+	otherTraffic := startTraffic(t, d, 1, d.Nodes[1:]...)
 	time.Sleep(time.Second)
 	stopped := time.Now()
-	saw := d.ShutDownUnderLoad(t.Context(), d.Nodes[0], 8, 2*balancerLagMs*time.Millisecond, timingQuery())
+	result := d.ShutDownUnderLoad(t.Context(), d.Nodes[0], 8, 2*balancerLagMs*time.Millisecond, timingQuery())
 	time.Sleep(time.Second)
-	others := summarise(elsewhere.end(), stopped, time.Now())
-	t.Logf("at the node: %d complete, %d too late, %d cut; elsewhere: %s", saw.Complete, saw.Late, len(saw.Interrupted), others)
+	others := summarise(otherTraffic.end(), stopped, time.Now())
+	t.Logf("first node: %d complete, %d after the balancer lag, %d interrupted; other nodes: %s", result.Complete, result.Late, len(result.Interrupted), others)
 	qt.Assert(t, others.complete, qt.Equals, others.total)
-	return saw
+	return result
 }
 
-// A node shuts down gracefully while callers use it. The caller whose request
-// came before the balancer noticed gets its whole answer; one that comes later
-// reads "refused", not run, or finds the port closed.
+// Guards against interrupted requests during a graceful shutdown. A request that begins within
+// the balancer lag must get a complete answer; a later one may be refused.
 func TestGracefulShutdownCutsNoRequest(t *testing.T) {
-	o := deployment.Options{Sheet: kenya(t, "timing"), Backend: longWork}
-	virtual(t, o, func(t *testing.T, d *deployment.Deployment) {
-		saw := shutDown(t, d)
-		qt.Assert(t, saw.Interrupted, qt.HasLen, 0)
-		qt.Assert(t, saw.Complete > 0 && saw.Late > 0, qt.IsTrue)
+	o := deployment.Options{Sheet: exampleSheet(t, "timing"), Backend: longServiceTime}
+	runInVirtualTime(t, o, func(t *testing.T, d *deployment.Deployment) {
+		result := shutDownFirstNode(t, d)
+		qt.Assert(t, result.Interrupted, qt.HasLen, 0)
+		qt.Assert(t, result.Complete > 0 && result.Late > 0, qt.IsTrue)
 	})
 }
 
-// The only node of a data centre shuts down while callers use it, moments after the
-// start, when every replica is cold. One shard's replica lies there and nowhere else
-// in service. Callers that come before the balancer notices get that shard too: the
-// node uses its replicas, cold ones included, until it has answered them.
+// Guards against partial answers and overload of cold replicas when the only node of a data
+// centre shuts down soon after its start. All replicas are cold, and one shard has its only
+// replica in service in that data centre. The node must use its replicas until its callers are
+// answered.
 func TestLastNodeOfDataCentreShutdownKeepsAnswersComplete(t *testing.T) {
-	sheet := kenya(t, "timing")
-	home := sheet.GetDataCentres()[0].GetName()
+	sheet := exampleSheet(t, "timing")
+	dataCentre := sheet.GetDataCentres()[0].GetName()
 	for _, shard := range sheet.GetServices()[0].GetGenerations()[0].GetShards() {
 		for _, r := range shard.GetReplicas() {
-			if shard.GetName() == "timing-07" && r.GetDataCentre() != home {
+			if shard.GetName() == "timing-07" && r.GetDataCentre() != dataCentre {
 				r.State = pb.Lifecycle_LIFECYCLE_OUT
 			}
 		}
 	}
-	virtual(t, deployment.Options{Sheet: sheet, NodesPerDataCentre: 1}, func(t *testing.T, d *deployment.Deployment) {
+	runInVirtualTime(t, deployment.Options{Sheet: sheet, NodesPerDataCentre: 1}, func(t *testing.T, d *deployment.Deployment) {
 		c := qt.New(t)
-		saw := d.ShutDownUnderLoad(t.Context(), d.Nodes[0], 1, 2*balancerLagMs*time.Millisecond, timingQuery())
-		c.Assert(saw.Interrupted, qt.HasLen, 0)
-		c.Assert(saw.Complete > 0, qt.IsTrue)
+		result := d.ShutDownUnderLoad(t.Context(), d.Nodes[0], 1, 2*balancerLagMs*time.Millisecond, timingQuery())
+		c.Assert(result.Interrupted, qt.HasLen, 0)
+		c.Assert(result.Complete > 0, qt.IsTrue)
 		for name, server := range d.Backends {
 			c.Check(server.Counts().ColdViolations, qt.Equals, uint64(0), qt.Commentf("%s", name))
 		}
--- a/node/scenario/restart_test.go
+++ b/node/scenario/restart_test.go
@@ -13,14 +13,14 @@
 	"github.com/carobmill/carobmill/policy/query"
 )
 
-// Every node is replaced in turn while callers pay fees. A node that shuts down
-// is served callers until its balancer notices. No fee is cut: none is unknown
-// or unanswered, and each that was told "complete" was taken once.
+// Guards against interrupted fees while every node restarts in turn. A node that shuts down
+// still receives callers within the balancer lag. No fee may be unknown or unanswered, and
+// each complete fee must run exactly once.
 func TestRollingRestartInterruptsNoFee(t *testing.T) {
-	virtualWrites(t, desk(), rollingRestart)
+	runWritesInVirtualTime(t, deskSheet(), rollingRestart)
 }
 
-func rollingRestart(t *testing.T, w *writes) {
+func rollingRestart(t *testing.T, w *writeHarness) {
 	serving := make([]atomic.Bool, len(w.d.Nodes))
 	for node := range serving {
 		serving[node].Store(true)
@@ -69,15 +69,14 @@
 	w.c.Check(complete.Load() > 0, qt.IsTrue)
 }
 
-// Every backend server hangs with what it has on connections that have gone
-// silent, so the owners' queues stand still. A fee that only ever waited in a queue
-// has not run; its claim must say so once its deadline has passed, or the caller's
-// retries would be told the first "unknown" for ever. They start anew instead.
+// Guards against a claim that stays "unknown" although its fee never left an owner's queue.
+// All backend servers hang and their connections are silent, so the queues do not move. After
+// the deadline the claim must be released, so that a retry runs as a new request.
 func TestFeeThatOnlyQueuedReleasesItsKey(t *testing.T) {
-	virtualWrites(t, desk(), onlyQueued)
+	runWritesInVirtualTime(t, deskSheet(), onlyQueued)
 }
 
-func onlyQueued(t *testing.T, w *writes) {
+func onlyQueued(t *testing.T, w *writeHarness) {
 	for _, server := range w.d.Backends {
 		server.Hold()
 	}
@@ -86,7 +85,7 @@
 	for n := range fees {
 		callers.Go(func() { w.send(n%len(w.d.Nodes), n, fmt.Sprint(n)) })
 	}
-	// The servers do not even notice that nodes give up.
+	// The silent connections hide the nodes' cancellations from the backend servers.
 	time.Sleep(100 * time.Millisecond)
 	for _, server := range w.d.Backends {
 		server.SilenceConnections()
--- a/node/scenario/silent_test.go
+++ b/node/scenario/silent_test.go
@@ -11,22 +11,21 @@
 	"github.com/carobmill/carobmill/standin/backend"
 )
 
-// coldFactor is how much slower a backend server is that has just turned cold.
-const coldFactor = 6
+// coldSlowdown is the factor on the service time of a cold backend server.
+const coldSlowdown = 6
 
-// Backend servers turn cold again and again with their connections open and a
-// status that goes on saying warm, while eight nodes send and the first owner of
-// one of them is replaced. They fall over when more than one request is there, also at the
-// moment of the turn. The sheet says that they may do this, so one owner alone has
-// one request there, warm or not. Callers get complete answers all the while.
+// Guards against overload of backend servers that become cold repeatedly while their
+// connections stay open and their status stays warm. The sheet declares silent cold starts, so
+// only one owner may have one request in flight at a replica, warm or cold. Meanwhile the
+// first owner of one replica restarts. All answers must be complete.
 func TestSilentColdStartsCauseNoOverload(t *testing.T) {
-	sheet := kenya(t, "timing")
+	sheet := exampleSheet(t, "timing")
 	sheet.GetServices()[0].SilentColdStart = true
-	o := deployment.Options{Sheet: sheet, Backend: func(o *backend.Options) { o.Cold.Factor = coldFactor }}
-	virtual(t, o, turnColdUnseen)
+	o := deployment.Options{Sheet: sheet, Backend: func(o *backend.Options) { o.Cold.Factor = coldSlowdown }}
+	runInVirtualTime(t, o, silentColdStarts)
 }
 
-// firstOwner returns the node that ranks first for a replica.
+// firstOwner returns the first-ranked owner of a replica.
 func firstOwner(t *testing.T, d *deployment.Deployment, replica string) *deployment.Node {
 	for _, n := range d.Nodes {
 		for _, owned := range n.NodeStatus(t.Context(), false)[0].GetOwned() {
@@ -35,40 +34,40 @@
 			}
 		}
 	}
-	t.Fatalf("nobody owns %s", replica)
+	t.Fatalf("no node is the first owner of %s", replica)
 	return nil
 }
 
-func turnColdUnseen(t *testing.T, d *deployment.Deployment) {
+func silentColdStarts(t *testing.T, d *deployment.Deployment) {
 	c := qt.New(t)
 	warmUp(t, d)
-	turning := []string{"timing-01-a", "timing-04-b", "timing-07-c"}
-	leaver := firstOwner(t, d, turning[0])
-	through := startTraffic(t, d, 1, leaver)
-	tr := startTraffic(t, d, 1, slices.DeleteFunc(slices.Clone(d.Nodes), func(n *deployment.Node) bool { return n == leaver })...)
-	turn := func(times int) {
+	replicas := []string{"timing-01-a", "timing-04-b", "timing-07-c"}
+	restarted := firstOwner(t, d, replicas[0])
+	restartedTraffic := startTraffic(t, d, 1, restarted)
+	tr := startTraffic(t, d, 1, slices.DeleteFunc(slices.Clone(d.Nodes), func(n *deployment.Node) bool { return n == restarted })...)
+	turnCold := func(times int) {
 		for range times {
-			for _, name := range turning {
+			for _, name := range replicas {
 				d.Backends[name].TurnCold(false)
 				time.Sleep(330 * time.Millisecond)
 			}
 		}
 	}
-	turn(4)
-	through.end()
-	leaver.Stop()
-	turn(2)
-	c.Assert(leaver.Start(t.Context()), qt.IsNil)
-	turn(5)
+	turnCold(4)
+	restartedTraffic.end()
+	restarted.Stop()
+	turnCold(2)
+	c.Assert(restarted.Start(t.Context()), qt.IsNil)
+	turnCold(5)
 	answers := tr.end()
 	logPartial(t, answers)
 	all := summarise(answers, time.Time{}, time.Now())
 	t.Logf("%s", all)
-	checkLoads(t, d)
+	checkBackendLimits(t, d)
 	for name, server := range d.Backends {
 		counts := server.Counts()
 		if most := max(counts.MaxColdInFlight, counts.MaxAtTurn); most > 1 {
-			t.Errorf("%s had %d requests in flight while it bore 1", name, most)
+			t.Errorf("%s had %d requests in flight, above its cold limit of 1", name, most)
 		}
 	}
 	c.Assert(all.complete, qt.Equals, all.total, qt.Commentf("%s", all))
--- a/node/scenario/snapshot_test.go
+++ b/node/scenario/snapshot_test.go
@@ -12,28 +12,28 @@
 	"github.com/carobmill/carobmill/standin/backend"
 )
 
-// flip moves every backend server to a new snapshot, one after the other as an
-// index build does; each keeps the snapshot before.
-func flip(d *deployment.Deployment, snapshot uint64, apart time.Duration) {
+// advanceSnapshots moves every backend server to a new snapshot, one after the other, as an
+// index build does. Each backend server keeps the previous snapshot.
+func advanceSnapshots(d *deployment.Deployment, snapshot uint64, interval time.Duration) {
 	for _, r := range d.Sheet.GetServices()[0].GetGenerations()[0].GetShards() {
 		for _, replica := range r.GetReplicas() {
 			d.Backends[replica.GetName()].Flip(snapshot-1, snapshot)
-			time.Sleep(apart)
+			time.Sleep(interval)
 		}
 	}
 }
 
-// The index moves to a new snapshot each minute while queries run. Under 1% of them
-// start over, and all are complete.
+// Guards against incomplete answers, and restarts of 1% of the queries or more, when the
+// snapshot changes once in a minute.
 func TestSnapshotChangeRestartsFewQueries(t *testing.T) {
-	o := deployment.Options{Sheet: kenya(t, "timing")}
-	virtual(t, o, func(t *testing.T, d *deployment.Deployment) {
+	o := deployment.Options{Sheet: exampleSheet(t, "timing")}
+	runInVirtualTime(t, o, func(t *testing.T, d *deployment.Deployment) {
 		c := qt.New(t)
 		warmUp(t, d)
 		tr := startTraffic(t, d, 1, d.Nodes[0], d.Nodes[3])
 		began := time.Now()
 		for snapshot := range uint64(1) {
-			flip(d, snapshot+2, time.Millisecond)
+			advanceSnapshots(d, snapshot+2, time.Millisecond)
 			time.Sleep(time.Until(began.Add(time.Duration(snapshot+1) * time.Minute)))
 		}
 		all := summarise(tr.end(), began, time.Now())
@@ -43,19 +43,18 @@
 	})
 }
 
-// The index moves to a new snapshot while queries run, replica by replica. Each
-// answer comes from one snapshot (startTraffic checks every row) and is complete:
-// a query is pinned to a snapshot that all shards hold, and one whose snapshot
-// is dropped beneath it starts over at a newer one.
+// Guards against incomplete answers and answers from mixed snapshots while replicas change
+// their snapshot one after the other. A query uses a snapshot that all shards hold and restarts
+// at a newer one if that snapshot is dropped. startTraffic checks every result.
 func TestSnapshotChangesKeepAnswersConsistent(t *testing.T) {
-	o := deployment.Options{Sheet: kenya(t, "timing")}
-	virtual(t, o, func(t *testing.T, d *deployment.Deployment) {
+	o := deployment.Options{Sheet: exampleSheet(t, "timing")}
+	runInVirtualTime(t, o, func(t *testing.T, d *deployment.Deployment) {
 		c := qt.New(t)
 		warmUp(t, d)
 		tr := startTraffic(t, d, 1, d.Nodes...)
 		began := time.Now()
 		for snapshot := range uint64(5) {
-			flip(d, snapshot+2, 20*time.Millisecond)
+			advanceSnapshots(d, snapshot+2, 20*time.Millisecond)
 			time.Sleep(500 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
@@ -64,13 +63,13 @@
 		all := summarise(answers, began, time.Now())
 		t.Logf("%s", all)
 		c.Assert(all.complete, qt.Equals, all.total)
-		checkLoads(t, d)
-		c.Assert(answers[len(answers)-1].snapshot, qt.Equals, uint64(6), qt.Commentf("the newest snapshot is served in the end"))
+		checkBackendLimits(t, d)
+		c.Assert(answers[len(answers)-1].snapshot, qt.Equals, uint64(6), qt.Commentf("the last answer must come from the newest snapshot"))
 	})
 }
 
-// repartitioned returns the sheet with a second generation from the snapshot on:
-// its shards are the old ones in pairs, served by the same replicas.
+// repartitioned returns the sheet with a second generation that begins at the given snapshot.
+// Each of its shards replaces two old shards and has the replicas of the first one.
 func repartitioned(s *pb.Sheet, first uint64) *pb.Sheet {
 	next := proto.Clone(s).(*pb.Sheet)
 	svc := next.GetServices()[0]
@@ -86,12 +85,12 @@
 	return next
 }
 
-// Operators accept a new partitioning while queries run: five shards in place of
-// ten, from snapshot 2 on. Replicas take snapshot 2 up one after the other.
-// Callers get whole answers of ten shards, then of five, never a mixture.
+// Guards against incomplete answers and answers from mixed generations while a new generation
+// replaces ten shards by five from snapshot 2 on. The replicas change to snapshot 2 one after
+// the other.
 func TestRepartitioningKeepsAnswersConsistent(t *testing.T) {
-	o := deployment.Options{Sheet: kenya(t, "timing")}
-	virtual(t, o, func(t *testing.T, d *deployment.Deployment) {
+	o := deployment.Options{Sheet: exampleSheet(t, "timing")}
+	runInVirtualTime(t, o, func(t *testing.T, d *deployment.Deployment) {
 		c := qt.New(t)
 		warmUp(t, d)
 		tr := startTraffic(t, d, 1, d.Nodes...)
@@ -105,14 +104,14 @@
 		}
 		c.Assert(d.Publish(t.Context(), next), qt.IsNil)
 		time.Sleep(time.Second)
-		flip(d, 2, 20*time.Millisecond)
+		advanceSnapshots(d, 2, 20*time.Millisecond)
 		time.Sleep(time.Second)
 		answers := tr.end()
 		logPartial(t, answers)
 		all := summarise(answers, began, time.Now())
 		t.Logf("%s", all)
 		c.Assert(all.complete, qt.Equals, all.total)
-		checkLoads(t, d)
+		checkBackendLimits(t, d)
 		c.Assert(answers[len(answers)-1].shards, qt.Equals, 5)
 	})
 }
--- a/node/scenario/traffic_test.go
+++ b/node/scenario/traffic_test.go
@@ -18,8 +18,8 @@
 	"github.com/carobmill/carobmill/standin/backend"
 )
 
-// traffic asks for timing without pause from several callers, each at its own
-// node, and checks every answer.
+// traffic sends queries to service timing from several callers, each at one node, and checks
+// every result.
 type traffic struct {
 	t       testing.TB
 	d       *deployment.Deployment
@@ -28,11 +28,11 @@
 
 	// mu guards everything below.
 	mu      sync.Mutex
-	answers []answered
+	answers []queryResult
 }
 
-// answered is what one query came to.
-type answered struct {
+// queryResult is the outcome of a query.
+type queryResult struct {
 	at       time.Time
 	took     time.Duration
 	outcome  query.Outcome
@@ -45,24 +45,24 @@
 	err      error
 }
 
-// pause between the queries of one caller.
-const pause = 20 * time.Millisecond
+// queryInterval is the time between an answer and the next query of the same caller.
+const queryInterval = 20 * time.Millisecond
 
-// startTraffic starts callers at the given nodes.
+// startTraffic starts callersPerNode callers at each of the given nodes.
 func startTraffic(t testing.TB, d *deployment.Deployment, callersPerNode int, nodes ...*deployment.Node) *traffic {
 	ctx, stop := context.WithCancel(t.Context())
 	tr := &traffic{t: t, d: d, stop: stop}
 	for i, n := range nodes {
 		for j := range callersPerNode {
-			tr.callers.Go(func() { tr.ask(ctx, n.Settings.GetCallerAddress(), fmt.Sprintf("%d-%d", i, j)) })
+			tr.callers.Go(func() { tr.query(ctx, n.Settings.GetCallerAddress(), fmt.Sprintf("%d-%d", i, j)) })
 		}
 	}
 	t.Cleanup(func() { tr.end() })
 	return tr
 }
 
-// warmUp asks for timing until a fresh deployment's backend servers, all of which count as
-// cold at first, bear their full share.
+// warmUp sends queries to a new deployment until all replicas are warm. New replicas count as
+// cold.
 func warmUp(t testing.TB, d *deployment.Deployment) {
 	tr := startTraffic(t, d, 2, d.Nodes...)
 	defer tr.end()
@@ -77,14 +77,14 @@
 			}
 		}
 		if want := d.NodesPerDataCentre * len(d.Backends); owned != want {
-			return fmt.Sprintf("%d of %d owners have taken up their replicas", owned, want)
+			return fmt.Sprintf("%d of %d replica ownerships are active", owned, want)
 		}
 		return ""
 	})
 	qt.Assert(t, err, qt.IsNil)
 }
 
-func (tr *traffic) ask(ctx context.Context, addr, name string) {
+func (tr *traffic) query(ctx context.Context, addr, name string) {
 	for i := 0; ctx.Err() == nil; i++ {
 		body := json.RawMessage(fmt.Sprintf(`{"caller":"%s","query":%d}`, name, i))
 		began := time.Now()
@@ -92,18 +92,18 @@
 		req.Query = body
 		req.Trace = true
 		answer, _, err := tr.d.Query(context.WithoutCancel(ctx), addr, req)
-		tr.note(began, body, answer, err)
+		tr.record(began, body, answer, err)
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(queryInterval):
 		}
 	}
 }
 
-func (tr *traffic) note(began time.Time, body json.RawMessage, answer *caller.Answer, err error) {
+func (tr *traffic) record(began time.Time, body json.RawMessage, answer *caller.Answer, err error) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	tr.answers = append(tr.answers, answered{
+	tr.answers = append(tr.answers, queryResult{
 		at:       began,
 		took:     time.Since(began),
 		outcome:  answer.Outcome,
@@ -123,7 +123,7 @@
 		if json.Unmarshal(raw, &result) != nil ||
 			result.Shard != shard || result.Snapshot != answer.Snapshot ||
 			result.Generation != answer.Generation || result.Digest != backend.Digest(body) {
-			tr.t.Errorf("shard %s of snapshot %d holds %s", shard, answer.Snapshot, raw)
+			tr.t.Errorf("shard %s of snapshot %d returned a wrong result: %s", shard, answer.Snapshot, raw)
 		}
 	}
 }
@@ -135,8 +135,8 @@
 	return answer.Cost.Restarts
 }
 
-// end stops the callers and waits for their last answers.
-func (tr *traffic) end() []answered {
+// end stops the callers, waits for their last answers and returns all results.
+func (tr *traffic) end() []queryResult {
 	tr.stop()
 	tr.callers.Wait()
 	tr.mu.Lock()
@@ -144,9 +144,9 @@
 	return tr.answers
 }
 
-// since returns the answers to queries that began after a time.
-func since(answers []answered, from time.Time) []answered {
-	var late []answered
+// resultsAfter returns the results of queries that began after a time.
+func resultsAfter(answers []queryResult, from time.Time) []queryResult {
+	var late []queryResult
 	for _, a := range answers {
 		if a.at.After(from) {
 			late = append(late, a)
@@ -155,8 +155,8 @@
 	return late
 }
 
-// logPartial writes the trace of the first partial answer, for a failed test.
-func logPartial(t testing.TB, answers []answered) {
+// logPartial logs the trace of the first answer that is not complete.
+func logPartial(t testing.TB, answers []queryResult) {
 	for _, a := range answers {
 		if a.outcome == query.Complete || a.err != nil {
 			continue
@@ -169,17 +169,17 @@
 	}
 }
 
-// summary counts answers that began in a span of time.
+// summary counts the results of queries that began within a period.
 type summary struct {
 	total, complete, partial, refused, failed int
-	// restarted counts queries that started over at another snapshot.
+	// restarted counts queries that restarted at another snapshot.
 	restarted   int
 	p50, p99    time.Duration
 	minCoverage float64
 	reasons     map[string]int
 }
 
-func summarise(answers []answered, from, to time.Time) summary {
+func summarise(answers []queryResult, from, to time.Time) summary {
 	s := summary{minCoverage: 1, reasons: make(map[string]int)}
 	var took []time.Duration
 	for _, a := range answers {
@@ -198,7 +198,7 @@
 	return s
 }
 
-func (s *summary) count(a answered) {
+func (s *summary) count(a queryResult) {
 	switch {
 	case a.err != nil:
 		s.failed++
--- a/node/scenario/writes_partition_test.go
+++ b/node/scenario/writes_partition_test.go
@@ -12,10 +12,11 @@
 	"github.com/carobmill/carobmill/policy/query"
 )
 
-// noticed is after how long without an answer no fee is entrusted to a connection.
-const noticed = 150 * time.Millisecond
+// silenceDetectionTime is the time without an answer after which a connection must not be used
+// for a fee.
+const silenceDetectionTime = 150 * time.Millisecond
 
-// sentFee is a fee and when it was sent.
+// sentFee is a sent fee with its result.
 type sentFee struct {
 	n       int
 	at      time.Time
@@ -23,8 +24,8 @@
 	reason  string
 }
 
-// payFees sends fees without keys at every node until stop is closed.
-func (w *writes) payFees(stop <-chan struct{}) []sentFee {
+// sendFees sends fees without keys to every node until stop is closed.
+func (w *writeHarness) sendFees(stop <-chan struct{}) []sentFee {
 	var (
 		mu   sync.Mutex
 		sent []sentFee
@@ -53,16 +54,16 @@
 	return sent
 }
 
-// The link between the two data centres is cut for half a second, which members
-// hardly notice, and every connection that was in use over it stays silent for
-// good. Callers who pay fees without keys cannot repeat them, so "unknown" is the
-// worst answer: only fees that were on their way at the cut may get it.
+// Guards against "unknown" answers to fees that are sent after a connection became silent. The
+// link between the two data centres is cut for half a second, too short to change the
+// membership, and the connections in use over the link stay silent. Callers cannot repeat fees
+// without keys, so only fees in flight at the cut may be "unknown".
 func TestSilentPeerConnectionsCauseNoLateUnknown(t *testing.T) {
-	virtualWrites(t, desk(), func(t *testing.T, w *writes) {
+	runWritesInVirtualTime(t, deskSheet(), func(t *testing.T, w *writeHarness) {
 		stop := make(chan struct{})
 		var sent []sentFee
-		var paying sync.WaitGroup
-		paying.Go(func() { sent = w.payFees(stop) })
+		var sending sync.WaitGroup
+		sending.Go(func() { sent = w.sendFees(stop) })
 		time.Sleep(time.Second)
 		cut := time.Now()
 		w.d.Network.Cut("nairobi", "nakuru")
@@ -70,7 +71,7 @@
 		w.d.Network.Mend("nairobi", "nakuru")
 		time.Sleep(6 * time.Second)
 		close(stop)
-		paying.Wait()
+		sending.Wait()
 
 		outcomes := make(map[string]int)
 		late := 0
@@ -84,13 +85,13 @@
 				w.c.Check(runs, qt.Equals, 0)
 			default:
 				w.c.Check(runs <= 1, qt.IsTrue)
-				if f.at.Sub(cut) > noticed {
+				if f.at.Sub(cut) > silenceDetectionTime {
 					late++
 				}
 			}
 		}
 		t.Logf("%d fees: %v", len(sent), outcomes)
-		w.c.Check(late, qt.Equals, 0, qt.Commentf("unknown, though sent later than %v after the cut", noticed))
+		w.c.Check(late, qt.Equals, 0, qt.Commentf("unknown fees that were sent more than %v after the cut", silenceDetectionTime))
 		w.c.Check(outcomes["complete "] > len(sent)*9/10, qt.IsTrue)
 	})
 }
--- a/node/scenario/writes_test.go
+++ b/node/scenario/writes_test.go
@@ -25,14 +25,14 @@
 const (
 	deskShards   = 2
 	deskReplicas = 3
-	// writeDeadlineMs is generous: what is tested here is not speed.
+	// writeDeadlineMs is far above the service times.
 	writeDeadlineMs = 2000
-	// balancerLagMs is how long callers go on coming to a node that is unready.
+	// balancerLagMs is the time in which callers still reach a node that is unready.
 	balancerLagMs = 100
 )
 
-// desk is an entry desk in two data centres: 2 shards of 3 replicas.
-func desk() *pb.Sheet {
+// deskSheet returns a sheet with service desk in two data centres: 2 shards of 3 replicas.
+func deskSheet() *pb.Sheet {
 	centres := []string{"nairobi", "nakuru"}
 	s := &pb.Sheet{Fleet: "writes"}
 	for _, name := range centres {
@@ -63,22 +63,23 @@
 	return sheet.WithDefaults(s)
 }
 
-type writes struct {
+// writeHarness sends fees, which are non-idempotent requests, to a deployment of deskSheet.
+type writeHarness struct {
 	c *qt.C
 	d *deployment.Deployment
 }
 
-// restTime lets claims that a killed node still settles, and connections that
-// are held until the other end has closed them, come to their end.
-const restTime = time.Hour
+// cleanupTime is the wait at the end of a test. In this time the claims of a killed node reach
+// a final state, and connections that wait for the other end to close are closed.
+const cleanupTime = time.Hour
 
-// virtualWrites runs a test of the desk in virtual time.
-func virtualWrites(t *testing.T, s *pb.Sheet, run func(t *testing.T, w *writes)) {
+// runWritesInVirtualTime runs a test of non-idempotent requests in virtual time.
+func runWritesInVirtualTime(t *testing.T, s *pb.Sheet, run func(t *testing.T, w *writeHarness)) {
 	synctest.Test(t, func(t *testing.T) {
-		t.Cleanup(func() { time.Sleep(restTime) })
+		t.Cleanup(func() { time.Sleep(cleanupTime) })
 		o := writeOptions(s)
 		o.Network = memnet.New(linkDelay)
-		w := &writes{c: qt.New(t), d: start(t, o)}
+		w := &writeHarness{c: qt.New(t), d: start(t, o)}
 		w.warm()
 		run(t, w)
 	})
@@ -94,13 +95,13 @@
 	}
 }
 
-// fee returns the body of one entry fee; each has its own.
-func fee(n int) json.RawMessage {
+// feeBody returns the body of fee n. Each fee has a different body.
+func feeBody(n int) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(`{"fee":%d}`, n))
 }
 
-// send posts a fee to a node. A nil answer means that the caller got none.
-func (w *writes) send(node int, n int, key string) *caller.ExecuteAnswer {
+// send sends a fee to a node. It returns nil if the request failed without an answer.
+func (w *writeHarness) send(node int, n int, key string) *caller.ExecuteAnswer {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*writeDeadlineMs*time.Millisecond)
 	defer cancel()
 	answer, _, err := w.d.Execute(ctx, w.d.Nodes[node].Settings.GetCallerAddress(), &caller.ExecuteRequest{
@@ -108,7 +109,7 @@
 		Class:          "entrant",
 		Key:            fmt.Sprintf("rider %d", n),
 		IdempotencyKey: key,
-		Body:           fee(n),
+		Body:           feeBody(n),
 	})
 	if err != nil {
 		return nil
@@ -116,9 +117,9 @@
 	return answer
 }
 
-// runs counts how often a fee ran, over all backend servers.
-func (w *writes) runs(n int) int {
-	digest := backend.Digest(fee(n))
+// runs returns how often a fee ran on all backend servers.
+func (w *writeHarness) runs(n int) int {
+	digest := backend.Digest(feeBody(n))
 	count := 0
 	for _, server := range w.d.Backends {
 		for _, run := range server.RunLog() {
@@ -131,7 +132,7 @@
 }
 
 // warm waits until fees run at every node.
-func (w *writes) warm() {
+func (w *writeHarness) warm() {
 	w.c.Helper()
 	for node := range w.d.Nodes {
 		err := deployment.Wait(context.Background(), 10*time.Second, func() string {
@@ -144,9 +145,10 @@
 	}
 }
 
-// persist repeats a keyed fee at changing nodes, as an impatient caller does,
-// until its outcome is final. It checks each "not run" against the log.
-func (w *writes) persist(rng *rand.Rand, n int, alive func(int) bool) query.Outcome {
+// retryUntilFinal sends a keyed fee to random nodes until its outcome is final. It retries after
+// a tenth of the advised time, and checks each refusal against the run logs of the backend
+// servers.
+func (w *writeHarness) retryUntilFinal(rng *rand.Rand, n int, alive func(int) bool) query.Outcome {
 	key := fmt.Sprintf("fee-%d", n)
 	for range 60 {
 		node := rng.IntN(len(w.d.Nodes))
@@ -158,7 +160,7 @@
 			continue
 		}
 		if a.Outcome == query.Refused && w.runs(n) > 0 {
-			w.c.Errorf("fee %d was told not run (%s) and ran", n, a.Reason)
+			w.c.Errorf("fee %d was refused as not run (%s) but ran", n, a.Reason)
 		}
 		if a.Outcome == query.Complete || a.RetryAfterMs == 0 {
 			return a.Outcome
@@ -168,36 +170,34 @@
 	return query.Refused
 }
 
-// Callers pay entry fees at four nodes and repeat themselves at other nodes
-// until they know the outcome. Meanwhile connections break before the run, after
-// it and within the reply, the platform loses answers and writes, and one node
-// is killed with what it has in flight. No fee is taken twice, none that was
-// told "complete" is missing, and no "not run" is false.
+// Guards against fees that run twice, complete fees that did not run, and refused fees that
+// ran. Callers retry at other nodes while connections break before, after and during the reply,
+// the platform loses answers and writes, and a node is killed with requests in flight.
 func TestFeesUnderFaultsRunAtMostOnce(t *testing.T) {
 	eachProtocol(t, feesUnderFaults)
 }
 
-func feesUnderFaults(t *testing.T, w *writes) {
+func feesUnderFaults(t *testing.T, w *writeHarness) {
 	const fees = 42
 	const killed = 3
 	var dead sync.Map
 	alive := func(node int) bool {
-		_, gone := dead.Load(node)
-		return !gone
+		_, isDead := dead.Load(node)
+		return !isDead
 	}
 	outcomes := make([]query.Outcome, fees)
 	var wg sync.WaitGroup
-	places := make(chan struct{}, 6)
+	slots := make(chan struct{}, 6)
 	for n := range fees {
-		places <- struct{}{}
-		w.fault(n)
+		slots <- struct{}{}
+		w.injectFault(n)
 		if n == fees/2 {
 			dead.Store(killed, true)
 			go w.d.Nodes[killed].Kill()
 		}
 		wg.Go(func() {
-			outcomes[n] = w.persist(rand.New(rand.NewPCG(7, uint64(n))), n, alive)
-			<-places
+			outcomes[n] = w.retryUntilFinal(rand.New(rand.NewPCG(7, uint64(n))), n, alive)
+			<-slots
 		})
 	}
 	wg.Wait()
@@ -211,13 +211,13 @@
 		}
 	}
 	t.Logf("outcomes of %d fees: %v; platform calls %+v", fees, counts, w.d.Platform.Calls())
-	// Three in seven meet no fault at a backend server.
+	// Three of the seven faults do not affect a backend server.
 	w.c.Check(counts[query.Complete] >= fees/4, qt.IsTrue)
 	w.c.Check(counts[query.Refused], qt.Equals, 0)
 }
 
-// fault sets one fault, in turn.
-func (w *writes) fault(n int) {
+// injectFault sets the fault for fee n. The faults take turns.
+func (w *writeHarness) injectFault(n int) {
 	server := w.d.Backends[fmt.Sprintf("desk-%d-%d", n%deskShards, n%deskReplicas)]
 	switch n % 7 {
 	case 0:
@@ -237,14 +237,14 @@
 	}
 }
 
-// One fee is submitted to every node at once, twice, while the platform loses
-// the answers to the claims. It is taken once; whoever is not told so is told
-// "unknown" with a time to come back, and learns it then.
+// Guards against a fee that runs twice when it is sent to every node twice at the same time
+// while the platform loses the answers to claims. Each caller must get "complete", or "unknown"
+// with a retry time, and a retry must get "complete".
 func TestDuplicateFeesRunOnceWhenClaimAnswersAreLost(t *testing.T) {
-	virtualWrites(t, desk(), duplicatesWithLostAnswers)
+	runWritesInVirtualTime(t, deskSheet(), duplicatesWithLostAnswers)
 }
 
-func duplicatesWithLostAnswers(t *testing.T, w *writes) {
+func duplicatesWithLostAnswers(t *testing.T, w *writeHarness) {
 	w.d.Platform.LoseAnswers(3)
 	answers := make([]*caller.ExecuteAnswer, 2*len(w.d.Nodes))
 	var wg sync.WaitGroup
@@ -259,19 +259,19 @@
 			w.c.Check(a.RetryAfterMs > 0, qt.IsTrue)
 		}
 	}
-	outcome := w.persist(rand.New(rand.NewPCG(1, 1)), 1, func(int) bool { return true })
+	outcome := w.retryUntilFinal(rand.New(rand.NewPCG(1, 1)), 1, func(int) bool { return true })
 	w.c.Check(outcome, qt.Equals, query.Complete)
 	w.c.Check(w.runs(1), qt.Equals, 1)
 }
 
-// The platform is down for a while. A keyed fee is answered within a moment,
-// not sent, with a time to come back; fees without a key and queries go on. When
-// the platform is back, the same key goes through.
+// Guards against a platform outage that stops queries and fees without a key, and against a
+// keyed fee that runs without a claim. The keyed fee must be answered as not sent, with a retry
+// time, and the same key must succeed after the outage.
 func TestPlatformOutageStopsOnlyKeyedRequests(t *testing.T) {
-	virtualWrites(t, desk(), platformOutage)
+	runWritesInVirtualTime(t, deskSheet(), platformOutage)
 }
 
-func platformOutage(t *testing.T, w *writes) {
+func platformOutage(t *testing.T, w *writeHarness) {
 	w.d.Platform.SetDown(true)
 	a := w.send(0, 1, "fee-1")
 	w.c.Assert(a, qt.IsNotNil)
@@ -281,15 +281,15 @@
 	w.c.Check(w.runs(1), qt.Equals, 0)
 	a = w.send(0, 2, "")
 	w.c.Check(a.Outcome, qt.Equals, query.Complete)
-	w.c.Check(w.ask(0).Outcome, qt.Equals, query.Complete)
+	w.c.Check(w.query(0).Outcome, qt.Equals, query.Complete)
 	w.d.Platform.SetDown(false)
-	outcome := w.persist(rand.New(rand.NewPCG(1, 1)), 1, func(int) bool { return true })
+	outcome := w.retryUntilFinal(rand.New(rand.NewPCG(1, 1)), 1, func(int) bool { return true })
 	w.c.Check(outcome, qt.Equals, query.Complete)
 	w.c.Check(w.runs(1), qt.Equals, 1)
 }
 
-// ask sends a query to a node.
-func (w *writes) ask(node int) *caller.Answer {
+// query sends a query to a node.
+func (w *writeHarness) query(node int) *caller.Answer {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*writeDeadlineMs*time.Millisecond)
 	defer cancel()
 	answer, _, err := w.d.Query(ctx, w.d.Nodes[node].Settings.GetCallerAddress(), &caller.QueryRequest{
@@ -302,19 +302,19 @@
 	return answer
 }
 
-// A fee is at a backend server when the node that owns the replica dies. The
-// caller, at another node, is told "unknown" when the connection between the
-// nodes breaks, not at its deadline, and its retry never makes the fee run again.
+// Guards against a second run of a fee that was at a backend server when the owner node was
+// lost, and against a wait until the deadline. The caller at another node must get "unknown"
+// when the connection between the nodes breaks.
 func TestOwnerLossReportsFeeInFlightAsUnknown(t *testing.T) {
-	virtualWrites(t, desk(), ownerDies)
+	runWritesInVirtualTime(t, deskSheet(), ownerLoss)
 }
 
-func ownerDies(t *testing.T, w *writes) {
+func ownerLoss(t *testing.T, w *writeHarness) {
 	for _, server := range w.d.Backends {
 		server.Hold()
 	}
-	// Nodes 2 and 3 are in nakuru, so replicas in nairobi are called through
-	// their first owner there.
+	// Nodes 2 and 3 are in nakuru, so they call replicas in nairobi through the first owner
+	// there.
 	const entries = 8
 	answers := make([]chan *caller.ExecuteAnswer, entries)
 	for n := range entries {
@@ -328,7 +328,7 @@
 				return ""
 			}
 		}
-		return "no fee has arrived in nairobi"
+		return "no fee is at a replica in nairobi"
 	})
 	w.c.Assert(err, qt.IsNil)
 	began := time.Now()
@@ -347,12 +347,12 @@
 	w.c.Check(w.runs(n), qt.Equals, 1)
 }
 
-// ownerInNairobi returns the node that is first owner of the replica in nairobi
-// that a fee is at, or -1.
-func (w *writes) ownerInNairobi(n int) int {
+// ownerInNairobi returns the node in nairobi that is first owner of the replica at which a fee
+// runs, or -1 if there is none.
+func (w *writeHarness) ownerInNairobi(n int) int {
 	for name, server := range w.d.Backends {
 		for _, run := range server.RunLog() {
-			if run.Digest != backend.Digest(fee(n)) {
+			if run.Digest != backend.Digest(feeBody(n)) {
 				continue
 			}
 			first := w.d.FirstOwner(context.Background(), name)
@@ -366,32 +366,31 @@
 	return -1
 }
 
-// Something between nodes and backend servers loses track of every open
-// connection: they go silent for good while new ones work. Queries recover by
-// new connections and every replica is used again. A fee is written only on a
-// connection that is proven alive, so callers of fees notice nothing.
+// Guards against replicas that stay unused, and fees that fail, after all open connections to
+// backend servers become silent while new connections work. Queries must recover through new
+// connections. A fee must be written only to a connection that is verified as alive.
 func TestSilentConnectionsAreReplacedAndReplicasKept(t *testing.T) {
 	eachProtocol(t, silentConnections)
 }
 
 // eachProtocol runs a test over HTTP/1.1 and over HTTP/2.
-func eachProtocol(t *testing.T, run func(t *testing.T, w *writes)) {
+func eachProtocol(t *testing.T, run func(t *testing.T, w *writeHarness)) {
 	for _, protocol := range []pb.Protocol{pb.Protocol_PROTOCOL_HTTP1, pb.Protocol_PROTOCOL_H2C} {
 		t.Run(protocol.String(), func(t *testing.T) {
-			s := desk()
+			s := deskSheet()
 			s.Services[0].Protocol = protocol
-			virtualWrites(t, s, run)
+			runWritesInVirtualTime(t, s, run)
 		})
 	}
 }
 
-func silentConnections(t *testing.T, w *writes) {
+func silentConnections(t *testing.T, w *writeHarness) {
 	for _, server := range w.d.Backends {
 		server.SilenceConnections()
 	}
-	// Longer than a connection is taken to be alive after its last byte.
+	// A connection counts as alive for less than this time after its last received byte.
 	time.Sleep(200 * time.Millisecond)
-	silent := time.Now()
+	silencedAt := time.Now()
 	var fees sync.WaitGroup
 	for node := range w.d.Nodes {
 		fees.Go(func() {
@@ -399,31 +398,31 @@
 			w.c.Check(a != nil && a.Outcome == query.Complete, qt.IsTrue, qt.Commentf("%+v", a))
 		})
 	}
-	served := make(map[string]uint64)
+	servedBefore := make(map[string]uint64)
 	for name, server := range w.d.Backends {
-		served[name] = server.Counts().Queries
+		servedBefore[name] = server.Counts().Queries
 	}
 	complete := 0
 	recovered := func() string {
 		for node := range w.d.Nodes {
-			if a := w.ask(node); a.Outcome != query.Complete {
+			if a := w.query(node); a.Outcome != query.Complete {
 				complete = 0
 				return fmt.Sprintf("node %d: %+v", node, a)
 			}
 		}
 		complete++
 		for name, server := range w.d.Backends {
-			if server.Counts().Queries == served[name] {
-				return name + " has served nothing since"
+			if server.Counts().Queries == servedBefore[name] {
+				return name + " has served no query since"
 			}
 		}
 		if complete < 5 {
-			return "not steady yet"
+			return "fewer than 5 complete rounds in a row"
 		}
 		return ""
 	}
 	w.c.Assert(deployment.Wait(context.Background(), 15*time.Second, recovered), qt.IsNil)
-	t.Logf("complete at every node and every replica in use after %v", time.Since(silent).Round(10*time.Millisecond))
+	t.Logf("complete at every node and every replica in use after %v", time.Since(silencedAt).Round(10*time.Millisecond))
 	fees.Wait()
 	for node := range w.d.Nodes {
 		a := w.send(node, 200+node, "")
@@ -436,10 +435,10 @@
 	}
 }
 
-// BenchmarkFee measures a fee end to end on loopback, backend servers taking 2
-// to 8 ms for it, without a key and with one, which costs a claim first.
+// BenchmarkFee measures a fee over loopback with a service time of 2 to 8 ms, without a key and
+// with one. A key needs a claim at the platform first.
 func BenchmarkFee(b *testing.B) {
-	w := &writes{c: qt.New(b), d: start(b, writeOptions(desk()))}
+	w := &writeHarness{c: qt.New(b), d: start(b, writeOptions(deskSheet()))}
 	w.warm()
 	n := 1000
 	for _, keyed := range []bool{false, true} {
