--- a/node/scenario/partition_test.go
+++ b/node/scenario/partition_test.go
@@ -30,7 +30,7 @@
 		case cut:
 			d.Network.Cut(isolated, other)
 		default:
-			d.Network.Mend(isolated, other)
+			d.Network.Restore(isolated, other)
 		}
 	}
 }
@@ -157,7 +157,7 @@
 		c.Assert(result.Interrupted, qt.HasLen, 0)
 		c.Assert(result.Complete > 0, qt.IsTrue)
 		for name, server := range d.Backends {
-			c.Check(server.Counts().ColdViolations, qt.Equals, uint64(0), qt.Commentf("%s", name))
+			c.Check(server.Counts().ColdOverloads, qt.Equals, uint64(0), qt.Commentf("%s", name))
 		}
 	})
 }
--- a/node/scenario/restart_test.go
+++ b/node/scenario/restart_test.go
@@ -88,7 +88,7 @@
 	// The silent connections hide the nodes' cancellations from the backend servers.
 	time.Sleep(100 * time.Millisecond)
 	for _, server := range w.d.Backends {
-		server.SilenceConnections()
+		server.BlackholeConnections()
 	}
 	callers.Wait()
 	time.Sleep(time.Second)
--- a/node/scenario/silent_test.go
+++ b/node/scenario/silent_test.go
@@ -48,7 +48,7 @@
 	turnCold := func(times int) {
 		for range times {
 			for _, name := range replicas {
-				d.Backends[name].TurnCold(false)
+				d.Backends[name].BeginColdStart(false)
 				time.Sleep(330 * time.Millisecond)
 			}
 		}
@@ -66,7 +66,7 @@
 	checkBackendLimits(t, d)
 	for name, server := range d.Backends {
 		counts := server.Counts()
-		if most := max(counts.MaxColdInFlight, counts.MaxAtTurn); most > 1 {
+		if most := max(counts.MaxColdInFlight, counts.MaxInFlightAtColdStart); most > 1 {
 			t.Errorf("%s had %d requests in flight, above its cold limit of 1", name, most)
 		}
 	}
