--- a/node/fleet/view.go
+++ b/node/fleet/view.go
@@ -38,7 +38,8 @@
 	// changes in one data centre would clear the caches of all.
 	ownersCache map[string]*sync.Map
 	// lastAllowed holds, by replica name, when MayUseCold last granted permission,
-	// as time.Time.
+	// as time.Time. Each view starts without entries, so that a change of the members
+	// or the configuration ends cached permissions.
 	lastAllowed sync.Map
 	// rankingCache caches the results of rankedMembers by replica name, as
 	// []Member.
@@ -180,8 +181,9 @@
 }
 
 // Owners returns the nodes to send a replica's subrequests to, highest-ranked
-// first: the highest-ranked members of its data centre in this node's group, at
-// most Tuning.owners. The result is shared and must not be modified.
+// first, at most Tuning.owners. They are the highest-ranked usable members of one
+// group of the replica's data centre: the group with the index of this node's group,
+// modulo the number of groups. The result is shared and must not be modified.
 //
 // A suspected owner keeps its rank, so that a short suspicion does not move
 // ownership. It is omitted while another owner is alive, so that queries do not
