--- a/node/settings/check.go
+++ b/node/settings/check.go
@@ -16,7 +16,7 @@
 	logFormats = []string{"json", "text"}
 )
 
-const validAddress = "an IP number and a port, such as 10.1.2.3:8080"
+const validAddress = "an IP address and a port, such as 10.1.2.3:8080"
 
 // Check applies the defaults to a copy of s and returns all faults of the result.
 func Check(s *pb.Settings) []rule.Fault {
--- a/node/settings/settings_test.go
+++ b/node/settings/settings_test.go
@@ -31,14 +31,14 @@
 // without TLS. Parse must return a fault that names the invalid field.
 func TestInvalidSettingIsReportedByField(t *testing.T) {
 	cases := []struct{ name, old, new, want string }{
-		{"host name instead of an IP number", "peer_address: \"127.0.0.1:8082\"", "peer_address: \"localhost:8082\"",
-			`n.yaml: peer_address: is "localhost:8082", an IP number and a port, .*`},
+		{"host name instead of an IP address", "peer_address: \"127.0.0.1:8082\"", "peer_address: \"localhost:8082\"",
+			`n.yaml: peer_address: is "localhost:8082", an IP address and a port, .*`},
 		{"same address twice", "peer_address: \"127.0.0.1:8082\"", "peer_address: \"127.0.0.1:8080\"",
 			`n.yaml: peer_address: 127.0.0.1:8080 is already used by caller_address, .*`},
 		{"no data centre", "data_centre: nairobi-1\n", "",
 			`n.yaml: data_centre: is missing or empty, a value is required`},
 		{"seed without a port", `- "127.0.0.1:8182"`, `- "127.0.0.1"`,
-			`n.yaml: seeds\[0\]: is "127.0.0.1", an IP number and a port, .*`},
+			`n.yaml: seeds\[0\]: is "127.0.0.1", an IP address and a port, .*`},
 		{"platform URL without a scheme", `platform_url: "http://127.0.0.1:2379"`, `platform_url: "127.0.0.1:2379"`,
 			`n.yaml: platform_url: is .*`},
 		{"unknown log level", "level: info", "level: loud",
--- a/policy/sheet/check.go
+++ b/policy/sheet/check.go
@@ -173,7 +173,7 @@
 	}
 	at, err := netip.ParseAddrPort(address)
 	if err != nil || at.Port() == 0 {
-		c.add(path, "an IP number and a port, such as 10.1.2.3:8080", "is %q", address)
+		c.add(path, "an IP address and a port, such as 10.1.2.3:8080", "is %q", address)
 	}
 }
 
