--- a/node/deployment/check.go
+++ b/node/deployment/check.go
@@ -26,7 +26,8 @@
 	// in ShutDownUnderLoad.
 	requestInterval = 5 * time.Millisecond
 	// startInterval is the time between the starts of two callers, and between the
-	// start of the callers and the shutdown. It exceeds the network delay of a request.
+	// start of the first caller and the shutdown. It exceeds the network delay of a
+	// request.
 	startInterval = 3 * time.Millisecond
 	// requestTimeout bounds a request that is never answered. Such a request is on a
 	// connection that the node had not accepted when it closed its listener.
@@ -46,9 +47,9 @@
 	return names
 }
 
-// RequestsDuring returns the number of requests that each of the named backend servers
-// received during a call, refused requests included. Backend servers that received none
-// are omitted, so an empty result means that no request was sent to any of them.
+// RequestsDuring returns the number of requests that each of the named backend servers ran
+// or rejected during a call. Backend servers without such a request are omitted. Requests
+// that were cancelled while they waited for a slot are not counted.
 func (d *Deployment) RequestsDuring(during func(), replicas ...string) map[string]uint64 {
 	before := make(map[string]uint64, len(replicas))
 	for _, name := range replicas {
@@ -64,7 +65,7 @@
 	return counts
 }
 
-// requests returns the number of requests that a backend server has received, without
+// requests returns the number of requests that a backend server has run or rejected, without
 // status polls.
 func (d *Deployment) requests(replica string) uint64 {
 	c := d.Backends[replica].Counts()
@@ -119,7 +120,7 @@
 // ShutdownResult counts the results of the requests to a node that shut down gracefully.
 type ShutdownResult struct {
 	// Complete is the number of complete answers. Late is the number of requests that
-	// began after the balancer lag and were refused or could not connect.
+	// began after the balancer lag and were refused or failed.
 	Complete, Late int
 	// Interrupted describes each partial answer, and each request that began within the
 	// balancer lag and was refused or failed.
--- a/node/deployment/deployment.go
+++ b/node/deployment/deployment.go
@@ -239,8 +239,8 @@
 	return ""
 }
 
-// Wait polls pending until it returns an empty string. After the timeout, Wait returns an
-// error with the last result of pending.
+// Wait polls pending until it returns an empty string. After the timeout, or when ctx is
+// cancelled, Wait returns an error with the last result of pending.
 func Wait(ctx context.Context, timeout time.Duration, pending func() string) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/node/deployment/request.go
+++ b/node/deployment/request.go
@@ -11,13 +11,13 @@
 	"github.com/carobmill/carobmill/node/caller"
 )
 
-// Query sends a read request to a node over TCP, as a caller does, and returns the
+// Query sends a query to a node over TCP, as a caller does, and returns the
 // answer with its HTTP status.
 func Query(ctx context.Context, callerAddress string, req *caller.QueryRequest) (*caller.Answer, int, error) {
 	return postQuery(ctx, http.DefaultTransport, callerAddress, req)
 }
 
-// Query sends a read request to a node of the deployment.
+// Query sends a query to a node of the deployment.
 func (d *Deployment) Query(ctx context.Context, callerAddress string, req *caller.QueryRequest) (*caller.Answer, int, error) {
 	return postQuery(ctx, d.transport, callerAddress, req)
 }
--- a/node/node/node.go
+++ b/node/node/node.go
@@ -30,11 +30,11 @@
 )
 
 // claimShare is the fraction of the platform call budget that claims of idempotency keys
-// may use. The remainder is reserved for the configuration and the VM list. Without it,
-// many keyed requests would block configuration and VM list updates.
+// may use. The remainder is reserved for the configuration and the VM list. Without this
+// reserve, many keyed requests would block configuration and VM list updates.
 const claimShare = 0.75
 
-// Node is a carobmill node. Each process runs one.
+// Node is a carobmill node. A production process runs one; tests run several.
 type Node struct {
 	settings *pb.Settings
 	log      logrus.FieldLogger
--- a/node/node/status.go
+++ b/node/node/status.go
@@ -11,8 +11,8 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
-// NodeStatus returns the status of this node or, with wholeFleet, of every member in its
-// member table. If the status request to a member fails, the entry holds the error.
+// NodeStatus returns the status of this node or, with wholeFleet, of every member that is not
+// gone, sorted by name. If the status request to a member fails, the entry holds the error.
 func (n *Node) NodeStatus(ctx context.Context, wholeFleet bool) []*pb.NodeStatus {
 	list := []*pb.NodeStatus{n.localStatus()}
 	if !wholeFleet {
--- a/node/node/wrap.go
+++ b/node/node/wrap.go
@@ -6,9 +6,9 @@
 	"github.com/carobmill/carobmill/policy/config"
 )
 
-// Wrappers replaces calls between components of a node. Tests use it to disable a safeguard
-// and to verify that a check of a running deployment then fails. No setting enables it. A nil
-// function wraps nothing.
+// Wrappers holds functions that wrap components of a node. Tests use them to disable a
+// safeguard and to verify that a check of a running deployment then fails. No setting enables
+// them. A nil function wraps nothing.
 type Wrappers struct {
 	// Index wraps the function from which entry and owner read the configuration in force.
 	Index func(inForce func() *config.Index) func() *config.Index
