--- a/node/node/shutdown.go
+++ b/node/node/shutdown.go
@@ -9,7 +9,8 @@
 )
 
 // peerGrace is the time between the drain and the stop of the peer server. In this time
-// the leave announcement reaches peers, and their last messages finish.
+// the leave announcement reaches peers, and their last messages finish. The node does not
+// wait if the drain timed out.
 const peerGrace = 500 * time.Millisecond
 
 // leaveGossipTime is the time that a leave announcement needs to reach every member of the
