--- a/node/scenario/bounds_test.go
+++ b/node/scenario/bounds_test.go
@@ -12,7 +12,8 @@
 	"github.com/carobmill/carobmill/policy/bench/bounds"
 )
 
-// wallClockVariable enables the checks of processor time, which depends on the hardware.
+// wallClockVariable is the environment variable that enables the checks of processor time,
+// which depends on the hardware.
 const wallClockVariable = "CAROBMILL_WALL_CLOCK"
 
 // Guards against more platform calls of an idle fleet of eight nodes. The rate limits of
--- a/node/scenario/broken_test.go
+++ b/node/scenario/broken_test.go
@@ -76,11 +76,11 @@
 // requestsAfterDataCentreLeaves takes a data centre out of service under load and returns
 // the number of requests that its backend servers receive after LeaveGrace.
 func requestsAfterDataCentreLeaves(t *testing.T, d *deployment.Deployment) map[string]uint64 {
-	out := proto.Clone(d.Sheet).(*pb.Sheet)
-	out.DataCentres[0].State = pb.Lifecycle_LIFECYCLE_OUT
-	qt.Assert(t, d.Publish(t.Context(), out), qt.IsNil)
+	changed := proto.Clone(d.Sheet).(*pb.Sheet)
+	changed.DataCentres[0].State = pb.Lifecycle_LIFECYCLE_OUT
+	qt.Assert(t, d.Publish(t.Context(), changed), qt.IsNil)
 	time.Sleep(deployment.LeaveGrace)
-	return d.RequestsDuring(func() { time.Sleep(time.Second) }, d.ReplicasIn(out.DataCentres[0].GetName())...)
+	return d.RequestsDuring(func() { time.Sleep(time.Second) }, d.ReplicasIn(changed.DataCentres[0].GetName())...)
 }
 
 // Guards against leave checks that still pass when nodes ignore the sheet, return to an old
--- a/node/scenario/change_test.go
+++ b/node/scenario/change_test.go
@@ -39,15 +39,15 @@
 
 func dataCentreLeavesAndReturns(t *testing.T, d *deployment.Deployment) {
 	c := qt.New(t)
-	out := proto.Clone(d.Sheet).(*pb.Sheet)
-	out.DataCentres[0].State = pb.Lifecycle_LIFECYCLE_OUT
-	leaving := out.GetDataCentres()[0].GetName()
+	changed := proto.Clone(d.Sheet).(*pb.Sheet)
+	changed.DataCentres[0].State = pb.Lifecycle_LIFECYCLE_OUT
+	leaving := changed.GetDataCentres()[0].GetName()
 	warmUp(t, d)
 	tr := startTraffic(t, d, 2, d.Nodes[2:]...)
 	time.Sleep(time.Second)
 
 	leftAt := time.Now()
-	c.Assert(d.Publish(t.Context(), out), qt.IsNil)
+	c.Assert(d.Publish(t.Context(), changed), qt.IsNil)
 	err := deployment.Wait(t.Context(), 3*time.Second, func() string {
 		for _, n := range d.Nodes[:2] {
 			if ready, _ := n.Ready(); ready {
@@ -71,9 +71,9 @@
 	requests = d.RequestsDuring(func() { time.Sleep(2 * time.Second) }, d.ReplicasIn(leaving)...)
 	c.Assert(requests, qt.Not(qt.HasLen), 0)
 	answers := tr.end()
-	t.Logf("before: %s", summarise(answers, leftAt.Add(-time.Second), leftAt))
-	t.Logf("out:    %s", summarise(answers, leftAt, returnedAt))
-	t.Logf("back:   %s", summarise(answers, returnedAt, time.Now()))
+	t.Logf("before:         %s", summarise(answers, leftAt.Add(-time.Second), leftAt))
+	t.Logf("out of service: %s", summarise(answers, leftAt, returnedAt))
+	t.Logf("returned:       %s", summarise(answers, returnedAt, time.Now()))
 	logPartial(t, answers)
 	all := summarise(answers, leftAt.Add(-time.Hour), time.Now())
 	c.Assert(all.complete, qt.Equals, all.total, qt.Commentf("%s", all))
@@ -87,9 +87,9 @@
 
 // leaveBySheet takes the backend server out of service in the sheet.
 func leaveBySheet(t *testing.T, d *deployment.Deployment) {
-	out := proto.Clone(d.Sheet).(*pb.Sheet)
-	leavingReplica(out).State = pb.Lifecycle_LIFECYCLE_OUT
-	qt.Assert(t, d.Publish(t.Context(), out), qt.IsNil)
+	changed := proto.Clone(d.Sheet).(*pb.Sheet)
+	leavingReplica(changed).State = pb.Lifecycle_LIFECYCLE_OUT
+	qt.Assert(t, d.Publish(t.Context(), changed), qt.IsNil)
 }
 
 // leaveByDraining makes the backend server drain.
--- a/node/scenario/cost_test.go
+++ b/node/scenario/cost_test.go
@@ -68,11 +68,12 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// backendsVariable is the number of backend servers that TestServeBackends runs in the
-// process that startBackends starts.
+// backendsVariable is the environment variable with the number of backend servers that
+// TestServeBackends runs in the process that startBackends starts.
 const backendsVariable = "CAROBMILL_COST_BACKENDS"
 
-// spreadVariable is the spread of the backend servers' service times.
+// spreadVariable is the environment variable with the spread of the backend servers' service
+// times.
 const spreadVariable = "CAROBMILL_COST_SPREAD"
 
 // TestServeBackends serves backend stand-ins for a benchmark in another process until
--- a/node/scenario/idle_test.go
+++ b/node/scenario/idle_test.go
@@ -19,8 +19,8 @@
 // idleTime is the duration of a measurement of an idle fleet.
 const idleTime = 20 * time.Second
 
-// startupTime is the wait before a measurement of an idle fleet. In this time the gossip
-// messages of the start end.
+// startupTime is the wait before a measurement of an idle fleet. Gossip about the start of the
+// nodes ends within this time.
 const startupTime = time.Minute
 
 // BenchmarkIdleFleet measures the control traffic and tables of a node while no query runs:
--- a/node/scenario/main_test.go
+++ b/node/scenario/main_test.go
@@ -35,7 +35,8 @@
 	return sheet
 }
 
-// linkDelay is the one-way delay between data centres.
+// linkDelay is the one-way delay of every connection of the network, also within a data
+// centre.
 const linkDelay = 500 * time.Microsecond
 
 // runInVirtualTime runs a test over an in-memory network in virtual time. The result does not
--- a/node/scenario/writes_test.go
+++ b/node/scenario/writes_test.go
@@ -27,7 +27,8 @@
 	deskReplicas = 3
 	// writeDeadlineMs is far above the service times.
 	writeDeadlineMs = 2000
-	// balancerLagMs is the time in which callers still reach a node that is unready.
+	// balancerLagMs is the time in which callers still reach a node that is unready. The
+	// balancer lag in the nodes' settings is twice as long.
 	balancerLagMs = 100
 )
 
@@ -147,7 +148,7 @@
 
 // retryUntilFinal sends a keyed fee to random nodes until its outcome is final. It retries after
 // a tenth of the advised time, and checks each refusal against the run logs of the backend
-// servers.
+// servers. Without a final outcome after 60 rounds it returns Refused.
 func (w *writeHarness) retryUntilFinal(rng *rand.Rand, n int, alive func(int) bool) query.Outcome {
 	key := fmt.Sprintf("fee-%d", n)
 	for range 60 {
@@ -413,7 +414,7 @@
 		complete++
 		for name, server := range w.d.Backends {
 			if server.Counts().Queries == servedBefore[name] {
-				return name + " has served no query since"
+				return name + " has served no query since the connections became silent"
 			}
 		}
 		if complete < 5 {
