--- a/cmd/carobmillctl/loadcmd.go
+++ b/cmd/carobmillctl/loadcmd.go
@@ -34,14 +34,14 @@
 	run:     runLoad,
 }
 
-// loadFiles holds the paths of the output files. A file with an empty path is not
+// loadOutputPaths holds the paths of the output files. A file with an empty path is not
 // written.
-type loadFiles struct {
+type loadOutputPaths struct {
 	plot, report string
 }
 
 func runLoad(ctx context.Context, inv *invocation) int {
-	var files loadFiles
+	var files loadOutputPaths
 	addresses := inv.flags.String("addr", "", "caller addresses (`ADDR`, IP address and port) of nodes, used in round-robin order (required)")
 	mix := inv.flags.String("mix", "", "`targets` SERVICE/CLASS[=SHARE], separated by commas (required)")
 	rate := inv.flags.Float64("rate", defaultLoadRate, "mean `requests` per second, Poisson arrivals")
@@ -75,7 +75,7 @@
 	if err := config.Check(); err != nil {
 		return inv.usageError("%v", err)
 	}
-	progress := inv.progressLine()
+	progress := inv.progressPrinter()
 	report, err := load.Run(ctx, config, progress)
 	if progress != nil {
 		_, _ = fmt.Fprint(inv.stderr, clearLine)
@@ -86,9 +86,9 @@
 	return inv.loadReport(report, files)
 }
 
-// progressLine returns a function that shows the progress of the run, or nil if standard
+// progressPrinter returns a function that shows the progress of the run, or nil if standard
 // error is not a terminal.
-func (inv *invocation) progressLine() func(load.Progress) {
+func (inv *invocation) progressPrinter() func(load.Progress) {
 	file, ok := inv.stderr.(*os.File)
 	if !ok || !term.IsTerminal(int(file.Fd())) {
 		return nil
@@ -98,7 +98,7 @@
 	}
 }
 
-func (inv *invocation) loadReport(report *load.Report, files loadFiles) int {
+func (inv *invocation) loadReport(report *load.Report, files loadOutputPaths) int {
 	if inv.json() {
 		inv.writeJSON(report)
 	} else {
@@ -113,7 +113,7 @@
 	return exitOK
 }
 
-func (f loadFiles) write(report *load.Report) error {
+func (f loadOutputPaths) write(report *load.Report) error {
 	if f.report != "" {
 		data, err := json.MarshalIndent(report, "", "  ")
 		if err != nil {
--- a/cmd/carobmillctl/main.go
+++ b/cmd/carobmillctl/main.go
@@ -16,9 +16,11 @@
 
 // Exit codes.
 const (
-	exitOK         = 0
-	exitFailed     = 1
-	exitUsage      = 2
+	exitOK     = 0
+	exitFailed = 1
+	exitUsage  = 2
+	// exitRefused means that the sheet may not replace the accepted one, or that another
+	// operator's version is accepted.
 	exitRefused    = 3
 	exitNotInForce = 4
 )
--- a/cmd/carobmillctl/sheetpublish.go
+++ b/cmd/carobmillctl/sheetpublish.go
@@ -111,8 +111,8 @@
 }
 
 // isFirstPublishWithoutNodes reports whether the accepted version is the first of its fleet
-// and the platform lists no VM, or only leaving ones. Waiting for nodes would then last
-// until the time limit.
+// and the platform lists no VM, or only VMs that are leaving. Waiting for nodes would then
+// last until the time limit.
 func isFirstPublishWithoutNodes(ctx context.Context, fleet publish.Fleet, r publish.Result) bool {
 	if r.Accepted.GetVersion() != firstVersion {
 		return false
--- a/cmd/demo/demo.go
+++ b/cmd/demo/demo.go
@@ -49,7 +49,7 @@
 	Answers []Answer `json:"answers"`
 }
 
-// ErrIncomplete is returned when a query has another outcome than complete.
+// ErrIncomplete is returned when the outcome of a query is not query.Complete.
 var ErrIncomplete = errors.New("answer is incomplete")
 
 // Run starts the deployment, queries every service and prints the answers. Unless
--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -161,7 +161,8 @@
 	return true
 }
 
-// retryAfter grows with the share of refused queries and with the class, so that
+// retryAfter returns the time after which a caller may retry a refused query. It is
+// longer for lower classes, and rises with the share of refused queries, so that
 // retrying callers do not prolong the overload.
 func (a *Controller) retryAfter(priority uint32) time.Duration {
 	wait := a.rate.latency * time.Duration(1+min(priority, maxPriority))
--- a/policy/admission/latency.go
+++ b/policy/admission/latency.go
@@ -11,7 +11,7 @@
 
 // classLatency compares the latencies of one priority class with its own baseline.
 // Classes differ in cost, so a baseline over all classes would report a change in the
-// mix as load.
+// mix of classes as load.
 type classLatency struct {
 	// recent is the moving average of the latency. unloaded is the lowest value of
 	// recent since the class had minSamples samples or since the last rebase. Both are
--- a/policy/admission/rate.go
+++ b/policy/admission/rate.go
@@ -25,8 +25,8 @@
 	// which no queries are assumed to queue.
 	unloadedRatio = 1.25
 	// drainFactor is the share of the delivered rate that is admitted while queues
-	// drain. growthPerSecond is the growth of the rate while queues are short.
-	// fastGrowthPerSecond applies while there are no queues or the highest class is
+	// drain. The rate is multiplied by growthPerSecond each second while queues are
+	// short. fastGrowthPerSecond applies while there are no queues or the highest class is
 	// refused. While queries are refused, the rate grows up to headroomFactor times the
 	// best rate of recent windows. Otherwise it is at least headroomFactor times the
 	// delivered rate.
@@ -37,7 +37,7 @@
 	// In overload the rate is reduced to no less than peakShare of the best rate of
 	// recent windows. Failed queries end long after their admission, so the delivered
 	// rate of a window with failures is far below the capacity of the backend
-	// servers. peakDecay is applied to the best rate in each window.
+	// servers. The best rate is multiplied by peakDecay after each window.
 	peakShare = 0.7
 	peakDecay = 0.97
 	// minRate is in queries per second. It keeps some queries running, so that a node
@@ -47,8 +47,9 @@
 	// overloaded, if at least minFailures queries failed.
 	maxFailureRatio = 0.05
 	minFailures     = 3
-	// burstTime and minBurst set the size of the bucket. Each class may use the share
-	// classReserve of the tokens that the class above may use.
+	// The bucket holds the tokens of burstTime at the current rate, but at least
+	// minBurst tokens. Each class may use the share classReserve of the tokens that the
+	// class above may use.
 	burstTime    = 50 * time.Millisecond
 	minBurst     = 16
 	classReserve = 0.4
--- a/policy/limit/signals.go
+++ b/policy/limit/signals.go
@@ -16,7 +16,8 @@
 	SignalShed
 	// SignalColdReport means that the replica or another owner reports a cold start.
 	SignalColdReport
-	// SignalSlow means that the latency is far above the reference.
+	// SignalSlow means that coldSlowRun answers in a row took far longer than the
+	// reference latency.
 	SignalSlow
 	// SignalDraining means that the replica accepts no new requests.
 	SignalDraining
--- a/policy/retrybudget/retrybudget.go
+++ b/policy/retrybudget/retrybudget.go
@@ -26,7 +26,7 @@
 	// requests that were counted although their callers had already left.
 	usableRatio = 0.9
 	// usableSlack is the fraction of the slack that nodes use. The remainder covers
-	// nodes that joined but are not in every node's fleet size yet.
+	// nodes that joined but are not yet counted by every node.
 	usableSlack = 0.72
 	// initialSlackShare is the fraction of a node's slack that is available at its start.
 	// The remainder becomes available over the first window.
--- a/standin/memnet/conn.go
+++ b/standin/memnet/conn.go
@@ -47,8 +47,8 @@
 	return c.out.write(p, time.Now().Add(c.network.delay))
 }
 
-// isBlackholed reports whether the connection drops its data. A send over a cut link
-// makes this permanent.
+// isBlackholed reports whether the connection drops its data. After a write or close
+// on a cut link, the connection drops its data even when the link is restored.
 func (c *Conn) isBlackholed() bool {
 	if c.network.isCut(c.link.a, c.link.b) {
 		c.blackholed.Store(true)
