--- a/node/forward/requestlog.go
+++ b/node/forward/requestlog.go
@@ -70,20 +70,20 @@
 	deniedNoBudget = "no budget"
 )
 
-// denialLine is a denial in the log line of its request.
-type denialLine struct {
+// denialEntry is one denial as written in the log line of its request.
+type denialEntry struct {
 	Service string  `json:"service"`
 	At      float64 `json:"at_ms"`
 	Reason  string  `json:"why"`
 	Hedge   bool    `json:"hedge,omitempty"`
 }
 
-func (q *exchange) denialLines() []denialLine {
-	lines := make([]denialLine, 0, len(q.denials))
+func (q *exchange) denialEntries() []denialEntry {
+	entries := make([]denialEntry, 0, len(q.denials))
 	for _, d := range q.denials {
-		lines = append(lines, denialLine{Service: q.names[d.shard], At: ms(d.at), Reason: d.reason, Hedge: d.hedge})
+		entries = append(entries, denialEntry{Service: q.names[d.shard], At: ms(d.at), Reason: d.reason, Hedge: d.hedge})
 	}
-	return lines
+	return entries
 }
 
 // attemptLine is an attempt in the log line of its request. Times are in milliseconds
@@ -134,7 +134,7 @@
 		"shards":   len(q.names),
 		"hedges":   q.hedged,
 		"attempts": attempts,
-		"denied":   q.denialLines(),
+		"denied":   q.denialEntries(),
 		"most":     q.route.MaxAttempts,
 		"repeat":   q.route.Idempotent,
 		"out":      strings.Join(slices.Sorted(maps.Keys(q.unreachable)), ","),
--- a/node/owner/owned.go
+++ b/node/owner/owned.go
@@ -50,7 +50,8 @@
 	// spreads the next poll over half an interval.
 	scheduledAt time.Time
 	jitter      float64
-	// statusAt is the time of the last reply with an incarnation.
+	// statusAt is the time of the last reply with an incarnation. A lost connection
+	// sets it to zero.
 	statusAt time.Time
 	// verified is set when a status poll has confirmed the incarnation and no
 	// connection was lost since. verifying is set while that poll runs. Each lost
--- a/node/owner/poll.go
+++ b/node/owner/poll.go
@@ -277,9 +277,9 @@
 		}
 		owned := o.ensureReplica(r)
 		senderIsFirst := owners[0].Name == sender
-		// An owner that is not the first starts in the cold state and stays in it until
-		// it receives the state from the first owner. Its report does not indicate a
-		// cold start.
+		// An owner that is not the first assumes that the replica is cold until it
+		// receives the state from the first owner. Its report of the cold state does not
+		// mean that the replica has restarted.
 		if senderIsFirst || n.GetState() == pb.ReplicaState_REPLICA_STATE_DRAINING {
 			owned.applyReport(n, senderIsFirst)
 		}
--- a/node/platform/client.go
+++ b/node/platform/client.go
@@ -40,8 +40,8 @@
 type Client struct {
 	base string
 	http *http.Client
-	// Every limiter must allow a call. The first is this client's own; the last is
-	// shared by all clients that WithBudgetShare derived from one client.
+	// A call needs a token of every limiter. The first limiter holds the budget of this
+	// client. The others are those of the client from which WithBudgetShare derived it.
 	limiters []*rate.Limiter
 	calls    *atomic.Uint64
 }
